--- a/crates/decide/src/age.rs
+++ b/crates/decide/src/attempt_age.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::come_back;
+use crate::retry_after;
 
 /// Time after which the longest time stated is forgotten, should no caller state it any more.
 const FORGET: Duration = Duration::from_secs(10);
@@ -30,7 +30,7 @@
 
 /// What callers of one route state.
 #[derive(Debug, Clone)]
-pub struct Stated {
+pub struct AttemptAgeEstimator {
     longest: Duration,
     seen: Instant,
     /// Share of requests that are first tries.
@@ -39,10 +39,10 @@
     different: f64,
 }
 
-impl Stated {
+impl AttemptAgeEstimator {
     /// Nothing is known before the first request.
-    pub fn new(now: Instant) -> Stated {
-        Stated {
+    pub fn new(now: Instant) -> AttemptAgeEstimator {
+        AttemptAgeEstimator {
             longest: Duration::ZERO,
             seen: now,
             first: 1.0,
@@ -52,16 +52,16 @@
 
     /// Takes the time that a caller waits, and tells how long ago it first asked; zero where that can't
     /// be told.
-    pub fn waited(&mut self, patience: Duration, now: Instant) -> Duration {
+    pub fn observe(&mut self, timeout: Duration, now: Instant) -> Duration {
         let forgotten = now.saturating_duration_since(self.seen) > FORGET;
-        if patience > self.longest || forgotten {
-            self.longest = patience;
+        if timeout > self.longest || forgotten {
+            self.longest = timeout;
         }
-        let states_longest = patience >= self.longest.mul_f64(SAME_PART);
+        let states_longest = timeout >= self.longest.mul_f64(SAME_PART);
         if states_longest {
             self.seen = now;
         }
-        let was_refused = patience + come_back::soonest() < self.longest;
+        let was_refused = timeout + retry_after::min_busy_delay() < self.longest;
         if !was_refused {
             count(&mut self.different, !states_longest);
         }
@@ -72,7 +72,7 @@
         count(&mut self.first, is_first);
         match is_first || self.first < LEAST_SHARE {
             true => Duration::ZERO,
-            false => self.longest - patience,
+            false => self.longest - timeout,
         }
     }
 }
--- a/crates/decide/src/contention.rs
+++ b/crates/decide/src/contention.rs
@@ -24,7 +24,7 @@
 const FAR_MOMENT: Duration = Duration::from_millis(130);
 
 /// How long a draw for an engine holds.
-pub fn moment(is_far: bool) -> Duration {
+pub fn draw_period(is_far: bool) -> Duration {
     match is_far {
         true => FAR_MOMENT,
         false => NEAR_MOMENT,
@@ -33,10 +33,16 @@
 
 /// Whether an engine with room for so many requests is tried by one of so many gateways that may, for a draw
 /// in 0..1; `waits` says whether the request has found no room before.
-pub fn is_tried(room: f64, gateways: usize, is_far: bool, waits: bool, draw: f64) -> bool {
-    let tries = match is_far || waits {
+pub fn should_try(
+    free_capacity: f64,
+    gateways: usize,
+    is_far: bool,
+    has_waited: bool,
+    draw: f64,
+) -> bool {
+    let tries = match is_far || has_waited {
         true => TRIES,
         false => TRIES_AT_ONCE,
     };
-    draw * (gateways as f64) < tries * room
+    draw * (gateways as f64) < tries * free_capacity
 }
--- a/crates/decide/src/denial.rs
+++ b/crates/decide/src/denial.rs
@@ -23,7 +23,7 @@
 
 /// What to do with a request that the copy doesn't allow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// The copy was confirmed lately: deny it.
     Deny,
     /// Have the copy confirmed, and look again.
@@ -34,37 +34,37 @@
 
 /// What is known of confirmations.
 #[derive(Debug)]
-pub struct Denials {
-    oldest: Duration,
-    failed: Option<Instant>,
+pub struct DenialPolicy {
+    max_age: Duration,
+    last_failure: Option<Instant>,
 }
 
-impl Denials {
+impl DenialPolicy {
     /// Denials where a change is to be in force within `config_time`.
-    pub fn new(config_time: Duration) -> Denials {
-        Denials {
-            oldest: config_time.mul_f64(OLDEST_PART),
-            failed: None,
+    pub fn new(config_time: Duration) -> DenialPolicy {
+        DenialPolicy {
+            max_age: config_time.mul_f64(OLDEST_PART),
+            last_failure: None,
         }
     }
 
     /// Largest age of a copy that denies.
-    pub fn oldest(&self) -> Duration {
-        self.oldest
+    pub fn max_age(&self) -> Duration {
+        self.max_age
     }
 
     /// What to do where the copy in force was confirmed `age` ago.
-    pub fn verdict(&self, age: Duration, now: Instant) -> Verdict {
+    pub fn decide(&self, age: Duration, now: Instant) -> Decision {
         let rests = |failed: Instant| now.saturating_duration_since(failed) < FAILED_REST;
-        match self.failed {
-            _ if age <= self.oldest => Verdict::Deny,
-            Some(failed) if rests(failed) => Verdict::Refuse,
-            _ => Verdict::Confirm,
+        match self.last_failure {
+            _ if age <= self.max_age => Decision::Deny,
+            Some(failed) if rests(failed) => Decision::Refuse,
+            _ => Decision::Confirm,
         }
     }
 
     /// Notes that no confirmation could be had.
-    pub fn failed(&mut self, now: Instant) {
-        self.failed = Some(now);
+    pub fn record_failure(&mut self, now: Instant) {
+        self.last_failure = Some(now);
     }
 }
--- a/crates/decide/src/placement.rs
+++ b/crates/decide/src/load_balancing.rs
@@ -57,22 +57,22 @@
 
 /// What a request asks of an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask {
+pub struct Requirements {
     /// Whether it can still be in time.
-    pub standing: crate::Standing,
+    pub deadline_class: crate::DeadlineClass,
     /// Time within which its first event is of full use.
     pub objective: Duration,
     /// Prompt tokens that an engine reads in a second; `None` for a plain service.
     pub prompt_rate: Option<f64>,
     /// Tokens that are expected to be generated.
-    pub tokens: u64,
+    pub expected_tokens: u64,
     /// Whether this gateway is the only one.
-    pub alone: bool,
+    pub is_only_gateway: bool,
 }
 
-impl Ask {
+impl Requirements {
     /// What is in flight at a candidate, in requests; `None` where it is full.
-    pub fn weight(&self, candidate: &Candidate) -> Option<f64> {
+    pub fn cost(&self, candidate: &Candidate) -> Option<f64> {
         if self.is_full(candidate) {
             return None;
         }
@@ -87,7 +87,7 @@
 
     /// Requests like this one that an engine has room for, by its slots and by prompts that can be read in
     /// time; endless for a plain service.
-    pub fn room(&self, candidate: &Candidate) -> f64 {
+    pub fn free_capacity(&self, candidate: &Candidate) -> f64 {
         let Some(rate) = self.prompt_rate else {
             return f64::INFINITY;
         };
@@ -109,9 +109,9 @@
 
     /// Slots that are left free.
     fn reserve(&self, candidate: &Candidate) -> u32 {
-        match self.standing {
-            crate::Standing::Timely => 0,
-            crate::Standing::Late => (f64::from(candidate.slots) * LATE_RESERVE).ceil() as u32,
+        match self.deadline_class {
+            crate::DeadlineClass::OnTime => 0,
+            crate::DeadlineClass::Late => (f64::from(candidate.slots) * LATE_RESERVE).ceil() as u32,
         }
     }
 
@@ -123,7 +123,7 @@
     /// Whether a gateway that isn't alone has a prompt at the engine that isn't read yet. Several
     /// gateways may find an engine empty at the same moment; with one prompt each it isn't swamped.
     fn reads_own(&self, candidate: &Candidate) -> bool {
-        candidate.own_unread > 0 && !self.alone
+        candidate.own_unread > 0 && !self.is_only_gateway
     }
 
     /// How long the request is expected to run after its engine is to leave service.
@@ -131,7 +131,7 @@
         let Some(left) = candidate.leaves_in else {
             return Duration::ZERO;
         };
-        let runs = TOKEN_TIME * u32::try_from(self.tokens).unwrap_or(u32::MAX);
+        let runs = TOKEN_TIME * u32::try_from(self.expected_tokens).unwrap_or(u32::MAX);
         runs.saturating_sub(left)
     }
 }
--- a/crates/decide/src/line.rs
+++ b/crates/decide/src/queue.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::Standing;
+use crate::DeadlineClass;
 
 /// Part of the objective that a request may wait before it is refused. A full engine's first event takes
 /// half of it or more, so what waits longer comes late; and in overload nothing is gained by waiting, since
@@ -13,45 +13,45 @@
 const WAIT_PART: f64 = 0.1;
 
 /// How long a request may wait for a slot.
-pub fn longest_wait(objective: Duration) -> Duration {
+pub fn max_wait(objective: Duration) -> Duration {
     objective.mul_f64(WAIT_PART)
 }
 
 /// A place in the line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
-    standing: Standing,
+pub struct Ticket {
+    class: DeadlineClass,
     priority: u8,
     arrival: u64,
 }
 
 /// Requests that wait for upstreams of one service.
 #[derive(Debug, Default)]
-pub struct Line {
-    places: BTreeSet<Place>,
-    arrivals: u64,
+pub struct Queue {
+    tickets: BTreeSet<Ticket>,
+    next_arrival: u64,
 }
 
-impl Line {
-    /// Gives a request a place; 0 is the most urgent priority.
-    pub fn enter(&mut self, standing: Standing, priority: u8) -> Place {
-        let place = Place {
-            standing,
+impl Queue {
+    /// Gives a request a ticket; 0 is the most urgent priority.
+    pub fn enqueue(&mut self, class: DeadlineClass, priority: u8) -> Ticket {
+        let ticket = Ticket {
+            class,
             priority,
-            arrival: self.arrivals,
+            arrival: self.next_arrival,
         };
-        self.arrivals += 1;
-        self.places.insert(place);
-        place
+        self.next_arrival += 1;
+        self.tickets.insert(ticket);
+        ticket
     }
 
     /// Gives a place up.
-    pub fn leave(&mut self, place: &Place) {
-        self.places.remove(place);
+    pub fn remove(&mut self, ticket: &Ticket) {
+        self.tickets.remove(ticket);
     }
 
     /// Whether a place is the first.
-    pub fn is_first(&self, place: &Place) -> bool {
-        self.places.first() == Some(place)
+    pub fn is_first(&self, ticket: &Ticket) -> bool {
+        self.tickets.first() == Some(ticket)
     }
 }
--- a/crates/decide/src/readers.rs
+++ b/crates/decide/src/readers.rs
@@ -42,15 +42,15 @@
 const LONGEST: Duration = Duration::from_secs(4);
 
 /// Rank by which a gateway reads, where it may not get the copies of those before it.
-pub fn reading_rank(rank: usize, copy_failed: bool) -> usize {
-    match copy_failed {
+pub fn effective_rank(rank: usize, replication_failed: bool) -> usize {
+    match replication_failed {
         true => rank.min(FALLBACK_RANK),
         false => rank,
     }
 }
 
 /// Age of the list at which the gateway of a rank reads it, where the first reads it at the interval.
-pub fn list_due(interval: Duration, rank: usize) -> Duration {
+pub fn list_read_age(interval: Duration, rank: usize) -> Duration {
     let part = match rank {
         0 => 1.0,
         1 => SECOND_PART,
@@ -60,22 +60,22 @@
 }
 
 /// Wait of a gateway that starts for a copy from one before it in rank.
-pub fn first_copy_wait(rank: usize) -> Duration {
+pub fn initial_replica_wait(rank: usize) -> Duration {
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
     let later = PATIENCE_LATER.saturating_mul(rank.saturating_sub(PATIENT));
     PATIENCE.saturating_mul(rank.min(PATIENT)) + later
 }
 
 /// Pause after so many failed reads in a row, for a draw in 0..1.
-pub fn retry_pause(rank: usize, failures: u32, draw: f64) -> Duration {
+pub fn retry_delay(rank: usize, failures: u32, draw: f64) -> Duration {
     match rank {
         0 | 1 => doubled(FIRST_LONGEST, failures, draw),
-        _ => unhurried_pause(failures, draw),
+        _ => background_retry_delay(failures, draw),
     }
 }
 
 /// The same for a call that is in no hurry.
-pub fn unhurried_pause(failures: u32, draw: f64) -> Duration {
+pub fn background_retry_delay(failures: u32, draw: f64) -> Duration {
     doubled(LONGEST, failures, draw)
 }
 
--- a/crates/decide/src/come_back.rs
+++ b/crates/decide/src/retry_after.rs
@@ -22,25 +22,25 @@
     /// All upstreams are full.
     Busy,
     /// No upstream may run it.
-    Nobody,
+    NoUpstream,
 }
 
 /// Time to come back after, for a draw in 0..1.
-pub fn after(reason: Reason, draw: f64) -> Duration {
+pub fn jittered_delay(reason: Reason, draw: f64) -> Duration {
     let mean = match reason {
         Reason::Busy => BUSY,
-        Reason::Nobody => NOBODY,
+        Reason::NoUpstream => NOBODY,
     };
     mean.mul_f64(1.0 - SPREAD + 2.0 * SPREAD * draw)
 }
 
 /// Time to come back after where no upstream may be sent a request for `left`, for a draw in 0..1. It is spread, so
 /// that callers rejected at once don't come back at once.
-pub fn not_before(left: Duration, draw: f64) -> Duration {
+pub fn delay_until_available(left: Duration, draw: f64) -> Duration {
     left.mul_f64(1.0 + 2.0 * SPREAD * draw).min(LONGEST)
 }
 
 /// Time for which a caller that found all upstreams busy stays away at least.
-pub fn soonest() -> Duration {
-    after(Reason::Busy, 0.0)
+pub fn min_busy_delay() -> Duration {
+    jittered_delay(Reason::Busy, 0.0)
 }
--- a/crates/decide/src/retry.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -42,7 +42,7 @@
     }
 
     /// Notes a request that came.
-    pub fn earn(&self, service: &ServiceName, now: Instant) {
+    pub fn deposit(&self, service: &ServiceName, now: Instant) {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         let window = services.entry(service.clone()).or_default();
         window.forget(now, self.window);
@@ -50,7 +50,7 @@
     }
 
     /// Pays for sending a request again; `false` where the budget is used up.
-    pub fn spend(&self, service: &ServiceName, gateways: usize, now: Instant) -> bool {
+    pub fn withdraw(&self, service: &ServiceName, gateways: usize, now: Instant) -> bool {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         let window = services.entry(service.clone()).or_default();
         window.forget(now, self.window);
--- a/crates/decide/tests/containment.rs
+++ b/crates/decide/tests/containment.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use base::{Fingerprint, LifeId};
-use decide::quarantine::{Care, Case, End, Quarantine, Verdict};
+use decide::quarantine::{Decision, Isolation, Quarantine, SuspectState, UpstreamExit};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -77,7 +77,7 @@
     /// News of a request leaves a gateway.
     Tell(usize, u64, bool),
     /// News arrives; to be passed on where it came from another failure domain.
-    Hear(usize, u64, Case, bool),
+    Hear(usize, u64, SuspectState, bool),
 }
 
 struct Engine {
@@ -173,7 +173,7 @@
             Event::Announced(attempt, engine, number) => {
                 let quarantine = &self.gateways[attempt.gateway];
                 let request = fingerprint(attempt.request);
-                match quarantine.is_under_way(&request, number, addr(engine)) {
+                match quarantine.is_current_trial(&request, number, addr(engine)) {
                     true => self.send(attempt, engine),
                     false => self.give_up(attempt),
                 }
@@ -196,22 +196,22 @@
     /// What a gateway does with an attempt that may be sent now or not.
     fn look(&mut self, attempt: Attempt) {
         let request = fingerprint(attempt.request);
-        let verdict = self.gateways[attempt.gateway].verdict(&request, self.now);
+        let verdict = self.gateways[attempt.gateway].decide(&request, self.now);
         match verdict {
-            Verdict::Free => match self.pick(&[]) {
+            Decision::Allow => match self.pick(&[]) {
                 Some(engine) => self.send(attempt, engine),
                 None => self.give_up(attempt),
             },
-            Verdict::Try(care) => self.announce(attempt, care),
-            Verdict::Later(at) => {
+            Decision::Trial(care) => self.announce(attempt, care),
+            Decision::WaitUntil(at) => {
                 let more = ms(self.rng.random_range(0..SPREAD_MS));
                 self.after(at - self.now + more, Event::Look(attempt));
             }
-            Verdict::Tried if self.now < attempt.patience => {
+            Decision::InTrial if self.now < attempt.patience => {
                 self.after(RECHECK, Event::Look(attempt));
             }
-            Verdict::Tried => self.give_up(attempt),
-            Verdict::Held(_) => {
+            Decision::InTrial => self.give_up(attempt),
+            Decision::Quarantined(_) => {
                 if attempt.request != DEADLY {
                     self.held.push(attempt.request);
                 }
@@ -221,18 +221,18 @@
         }
     }
 
-    fn announce(&mut self, attempt: Attempt, care: Care) {
+    fn announce(&mut self, attempt: Attempt, care: Isolation) {
         let quarantine = &self.gateways[attempt.gateway];
-        let trials = quarantine.trials(self.now);
+        let trials = quarantine.trial_upstreams(self.now);
         let apart = self.pick(&trials);
         let engine = match care {
-            Care::Preferably => apart.or_else(|| self.pick(&[])),
-            Care::Strictly => apart,
+            Isolation::Preferred => apart.or_else(|| self.pick(&[])),
+            Isolation::Required => apart,
         };
         let request = fingerprint(attempt.request);
         let begun = engine.and_then(|engine| {
             let quarantine = &mut self.gateways[attempt.gateway];
-            let number = quarantine.begin(&request, addr(engine), self.now)?;
+            let number = quarantine.begin_trial(&request, addr(engine), self.now)?;
             Some((engine, number))
         });
         match begun {
@@ -285,7 +285,7 @@
             .running
             .retain(|a| a.request != attempt.request);
         let quarantine = &mut self.gateways[attempt.gateway];
-        if quarantine.finished(&fingerprint(attempt.request), self.now) {
+        if quarantine.record_completion(&fingerprint(attempt.request), self.now) {
             self.news(attempt.gateway, attempt.request, true);
         }
         self.numbers += 1;
@@ -306,14 +306,14 @@
         self.lives += 1;
         let (now, lives) = (self.now, self.lives);
         let ended = &mut self.engines[engine];
-        let end = End {
-            life: std::mem::replace(&mut ended.life, lives),
+        let exit = UpstreamExit {
+            incarnation: std::mem::replace(&mut ended.life, lives),
             at: now,
         };
         ended.up_from = now + AWAY;
         for attempt in std::mem::take(&mut ended.running) {
             let quarantine = &mut self.gateways[attempt.gateway];
-            quarantine.ended(fingerprint(attempt.request), addr(engine), end);
+            quarantine.record_exit(fingerprint(attempt.request), addr(engine), exit);
             self.news(attempt.gateway, attempt.request, true);
             match attempt.sent < MOST_ATTEMPTS {
                 true => self.after(Duration::ZERO, Event::Look(attempt)),
@@ -339,7 +339,10 @@
 
     /// Sends what a gateway knows of a request.
     fn tell(&mut self, gateway: usize, request: u64, far: bool) {
-        let Some(case) = self.gateways[gateway].case(&fingerprint(request)).cloned() else {
+        let Some(case) = self.gateways[gateway]
+            .suspect(&fingerprint(request))
+            .cloned()
+        else {
             return;
         };
         let (domains, all) = (self.domains, self.gateways.len());
--- a/crates/decide/tests/contention.rs
+++ b/crates/decide/tests/contention.rs
@@ -1,6 +1,6 @@
 //! Many gateways that know the same of few engines.
 
-use decide::contention::is_tried;
+use decide::contention::should_try;
 
 /// Room of an engine that has just come into service: three prompts read in time.
 const ROOM: f64 = 3.0;
@@ -12,7 +12,7 @@
 
 fn tries(room: f64, gateways: usize) -> usize {
     draws(gateways)
-        .filter(|draw| is_tried(room, gateways, false, true, *draw))
+        .filter(|draw| should_try(room, gateways, false, true, *draw))
         .count()
 }
 
@@ -39,7 +39,7 @@
 fn near_full_load_a_gateway_still_finds_engines() {
     let found = (0..41).filter(|engine| {
         let draw = f64::from((engine * 37) % 41) / 41.0;
-        is_tried(1.0, 30, false, true, draw)
+        should_try(1.0, 30, false, true, draw)
     });
 
     assert!(found.count() >= 2);
@@ -49,7 +49,7 @@
 fn a_request_that_has_just_arrived_tries_more_engines_of_its_failure_domain_and_no_more_others() {
     let of = |is_far, waits| {
         draws(30)
-            .filter(|draw| is_tried(1.0, 30, is_far, waits, *draw))
+            .filter(|draw| should_try(1.0, 30, is_far, waits, *draw))
             .count()
     };
 
--- a/crates/decide/tests/denial.rs
+++ b/crates/decide/tests/denial.rs
@@ -2,40 +2,40 @@
 
 use std::time::{Duration, Instant};
 
-use decide::denial::{Denials, Verdict};
+use decide::denial::{Decision, DenialPolicy};
 
 const CONFIG_TIME: Duration = Duration::from_secs(2);
 
 const MS: Duration = Duration::from_millis(1);
 
-fn denials() -> (Denials, Instant) {
-    (Denials::new(CONFIG_TIME), Instant::now())
+fn denials() -> (DenialPolicy, Instant) {
+    (DenialPolicy::new(CONFIG_TIME), Instant::now())
 }
 
 #[test]
 fn a_copy_denies_only_while_a_change_may_still_be_on_its_way() {
     let (denials, now) = denials();
 
-    assert_eq!(denials.verdict(Duration::ZERO, now), Verdict::Deny);
-    assert_eq!(denials.verdict(denials.oldest(), now), Verdict::Deny);
+    assert_eq!(denials.decide(Duration::ZERO, now), Decision::Deny);
+    assert_eq!(denials.decide(denials.max_age(), now), Decision::Deny);
     assert_eq!(
-        denials.verdict(denials.oldest() + MS, now),
-        Verdict::Confirm
+        denials.decide(denials.max_age() + MS, now),
+        Decision::Confirm
     );
-    assert!(denials.oldest() < CONFIG_TIME);
+    assert!(denials.max_age() < CONFIG_TIME);
 }
 
 #[test]
 fn after_a_failed_confirmation_requests_are_refused_at_once_for_a_while() {
     let (mut denials, now) = denials();
 
-    denials.failed(now);
+    denials.record_failure(now);
 
-    assert_eq!(denials.verdict(CONFIG_TIME, now + MS), Verdict::Refuse);
-    assert_eq!(denials.verdict(Duration::ZERO, now + MS), Verdict::Deny);
+    assert_eq!(denials.decide(CONFIG_TIME, now + MS), Decision::Refuse);
+    assert_eq!(denials.decide(Duration::ZERO, now + MS), Decision::Deny);
     assert_eq!(
-        denials.verdict(CONFIG_TIME, now + CONFIG_TIME),
-        Verdict::Confirm
+        denials.decide(CONFIG_TIME, now + CONFIG_TIME),
+        Decision::Confirm
     );
 }
 
@@ -54,7 +54,7 @@
             confirmed = since;
         }
         let age = now.saturating_duration_since(confirmed);
-        if denials.verdict(age, now) == Verdict::Confirm {
+        if denials.decide(age, now) == Decision::Confirm {
             waited += 1;
             if asked.is_none() {
                 asked = Some(now);
@@ -63,7 +63,7 @@
         }
     }
 
-    let most = 60_000 / denials.oldest().as_millis() as u32;
+    let most = 60_000 / denials.max_age().as_millis() as u32;
     assert!(calls <= most, "{calls} calls, at most {most}");
     assert!(waited <= calls * 16, "{waited} requests waited for them");
 }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -5,11 +5,11 @@
 
 use std::time::{Duration, Instant};
 
-use decide::Standing;
-use decide::age::Stated;
-use decide::come_back::{Reason, after};
-use decide::line::longest_wait;
-use decide::placement::{Ask, Candidate, JITTER};
+use decide::DeadlineClass;
+use decide::attempt_age::AttemptAgeEstimator;
+use decide::load_balancing::{Candidate, JITTER, Requirements};
+use decide::queue::max_wait;
+use decide::retry_after::{Reason, jittered_delay};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -109,14 +109,14 @@
     span: Duration,
     seed: u64,
     differ: f64,
-    standing: impl Fn(Duration) -> Standing,
+    standing: impl Fn(Duration) -> DeadlineClass,
 ) -> Fared {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut times = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
     let (mut waiting, mut returning): (Vec<Request>, Vec<Request>) = (Vec::new(), Vec::new());
-    let (mut stated, mut fared) = (Stated::new(start), Fared::default());
+    let (mut stated, mut fared) = (AttemptAgeEstimator::new(start), Fared::default());
     let mut now = Duration::ZERO;
     while now < span + PATIENCE {
         if now < span && rng.random_range(0.0..1.0) < rate(now) * TICK.as_secs_f64() {
@@ -131,11 +131,11 @@
         let due = returning.extract_if(.., |r| r.arrived <= now);
         waiting.extend(due);
         // As gateways do: the standing comes from the time that the caller still waits.
-        let mut ranked: Vec<(Standing, Request)> = waiting
+        let mut ranked: Vec<(DeadlineClass, Request)> = waiting
             .drain(..)
             .map(|r| {
                 let patience = r.patience.saturating_sub(r.arrived - r.first);
-                (standing(stated.waited(patience, start + now)), r)
+                (standing(stated.observe(patience, start + now)), r)
             })
             .collect();
         ranked.sort_by_key(|(standing, r)| (*standing, r.arrived));
@@ -146,10 +146,10 @@
                     read: false,
                     tokens: 0,
                 }),
-                None if now < request.arrived + longest_wait(OBJECTIVE) => waiting.push(request),
+                None if now < request.arrived + max_wait(OBJECTIVE) => waiting.push(request),
                 None if request.again => fared.refused += 1,
                 None => returning.push(Request {
-                    arrived: now + after(Reason::Busy, rng.random_range(0.0..1.0)),
+                    arrived: now + jittered_delay(Reason::Busy, rng.random_range(0.0..1.0)),
                     again: true,
                     ..request
                 }),
@@ -165,18 +165,18 @@
 
 fn place<'a>(
     engines: &'a mut [Engine],
-    standing: Standing,
+    deadline_class: DeadlineClass,
     rng: &mut StdRng,
 ) -> Option<&'a mut Engine> {
-    let ask = Ask {
-        standing,
+    let ask = Requirements {
+        deadline_class,
         objective: OBJECTIVE,
         prompt_rate: Some(PROMPT_RATE),
-        tokens: ANSWER,
-        alone: true,
+        expected_tokens: ANSWER,
+        is_only_gateway: true,
     };
     let weighed = engines.iter_mut().filter_map(|e| {
-        let weight = ask.weight(&e.candidate())?;
+        let weight = ask.cost(&e.candidate())?;
         Some((weight + rng.random_range(0.0..JITTER), e))
     });
     weighed
@@ -185,15 +185,15 @@
 }
 
 /// Whether a request whose caller first asked so long ago can be in time.
-fn by_age(waited: Duration) -> Standing {
+fn by_age(waited: Duration) -> DeadlineClass {
     match waited < OBJECTIVE {
-        true => Standing::Timely,
-        false => Standing::Late,
+        true => DeadlineClass::OnTime,
+        false => DeadlineClass::Late,
     }
 }
 
-fn alike(_: Duration) -> Standing {
-    Standing::Timely
+fn alike(_: Duration) -> DeadlineClass {
+    DeadlineClass::OnTime
 }
 
 /// Plays both rankings over some seeds and prints what callers got.
--- a/crates/decide/tests/readers.rs
+++ b/crates/decide/tests/readers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use decide::readers::{first_copy_wait, list_due, reading_rank, retry_pause};
+use decide::readers::{effective_rank, initial_replica_wait, list_read_age, retry_delay};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -18,12 +18,12 @@
     let mut rng = StdRng::seed_from_u64(11);
     let mut reads = 0;
     for rank in 0..gateways {
-        let mut at = list_due(INTERVAL, rank);
+        let mut at = list_read_age(INTERVAL, rank);
         let mut failures = 0;
         while at < SPAN {
             reads += 1;
             failures += 1;
-            at += TIMEOUT + retry_pause(rank, failures, rng.random_range(0.0..1.0));
+            at += TIMEOUT + retry_delay(rank, failures, rng.random_range(0.0..1.0));
         }
     }
     reads
@@ -54,8 +54,8 @@
 
 #[test]
 fn gateways_that_start_begin_to_read_at_a_fixed_pace() {
-    let begins = |gateways| busiest_second((0..gateways).map(first_copy_wait));
-    let due = |gateways| busiest_second((0..gateways).map(|rank| list_due(INTERVAL, rank)));
+    let begins = |gateways| busiest_second((0..gateways).map(initial_replica_wait));
+    let due = |gateways| busiest_second((0..gateways).map(|rank| list_read_age(INTERVAL, rank)));
 
     assert_eq!(begins(30), begins(121));
     assert_eq!(due(30), due(121));
@@ -63,14 +63,14 @@
 
 #[test]
 fn the_first_readers_try_again_sooner_than_the_others() {
-    assert!(retry_pause(0, 9, 1.0) <= Duration::from_secs(2));
-    assert!(retry_pause(5, 9, 0.0) >= Duration::from_secs(4));
-    assert_eq!(retry_pause(0, 1, 0.0), retry_pause(5, 1, 0.0));
+    assert!(retry_delay(0, 9, 1.0) <= Duration::from_secs(2));
+    assert!(retry_delay(5, 9, 0.0) >= Duration::from_secs(4));
+    assert_eq!(retry_delay(0, 1, 0.0), retry_delay(5, 1, 0.0));
 }
 
 #[test]
 fn a_gateway_that_cannot_copy_the_list_reads_it_before_its_turn() {
-    let due = |rank, copy_failed| list_due(INTERVAL, reading_rank(rank, copy_failed));
+    let due = |rank, copy_failed| list_read_age(INTERVAL, effective_rank(rank, copy_failed));
 
     assert!(due(80, false) > Duration::from_secs(20));
     assert_eq!(due(80, true), due(2, false));
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,6 +1,6 @@
 //! Requests waiting for a slot.
 //!
-//! A request waits until an upstream has room, in the order of [`decide::line`]. One that can't be served
+//! A request waits until an upstream has room, in the order of [`decide::queue`]. One that can't be served
 //! within its objective is refused early, so that its caller can come back while that still helps; where
 //! there is no upstream at all, or none may be sent a request before then, at once.
 
@@ -9,9 +9,9 @@
 
 use base::Map;
 use catalog::{Service, ServiceName};
-use decide::come_back::{Reason, after, not_before};
-use decide::line::{Line, Place, longest_wait};
-use decide::quarantine::Care;
+use decide::quarantine::Isolation;
+use decide::queue::{Queue, Ticket, max_wait};
+use decide::retry_after::{Reason, delay_until_available, jittered_delay};
 use rand::RngExt;
 use tokio::sync::Notify;
 
@@ -28,28 +28,28 @@
 /// Requests waiting for a slot.
 #[derive(Debug, Default)]
 pub struct Admission {
-    lines: Mutex<Map<ServiceName, Line>>,
+    lines: Mutex<Map<ServiceName, Queue>>,
     freed: Arc<Notify>,
     changed: Arc<Notify>,
 }
 
 /// A place in the line, given up when dropped.
-struct Ticket<'a> {
+struct QueueGuard<'a> {
     admission: &'a Admission,
     service: &'a ServiceName,
-    place: Place,
+    ticket: Ticket,
 }
 
-impl Drop for Ticket<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         if let Some(line) = self.admission.lines().get_mut(self.service) {
-            line.leave(&self.place);
+            line.remove(&self.ticket);
         }
     }
 }
 
 impl Admission {
-    fn lines(&self) -> MutexGuard<'_, Map<ServiceName, Line>> {
+    fn lines(&self) -> MutexGuard<'_, Map<ServiceName, Queue>> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -71,26 +71,26 @@
         }
     }
 
-    fn enter<'a>(&'a self, service: &'a ServiceName, job: &Job) -> Ticket<'a> {
+    fn enter<'a>(&'a self, service: &'a ServiceName, job: &Job) -> QueueGuard<'a> {
         let mut lines = self.lines();
         let line = lines.entry(service.clone()).or_default();
-        Ticket {
+        QueueGuard {
             admission: self,
             service,
-            place: line.enter(job.standing, job.priority()),
+            ticket: line.enqueue(job.standing, job.priority()),
         }
     }
 
-    fn is_first(&self, ticket: &Ticket<'_>) -> bool {
+    fn is_first(&self, guard: &QueueGuard<'_>) -> bool {
         let lines = self.lines();
-        let line = lines.get(ticket.service);
-        line.is_some_and(|line| line.is_first(&ticket.place))
+        let line = lines.get(guard.service);
+        line.is_some_and(|line| line.is_first(&guard.ticket))
     }
 }
 
 /// Until when a request that just arrived may wait.
 pub fn wait_until(job: &Job) -> Instant {
-    (job.arrived + longest_wait(job.route.objective)).min(job.deadline)
+    (job.arrived + max_wait(job.route.objective)).min(job.deadline)
 }
 
 /// Waits until `until` for a slot at an upstream that isn't among `tried`; `care` says that the request is a
@@ -100,13 +100,13 @@
     job: &Job,
     service: &Service,
     tried: &[Arc<Upstream>],
-    care: Option<Care>,
+    care: Option<Isolation>,
     until: Instant,
 ) -> Result<Slot, Refusal> {
-    let ticket = cx.admission.enter(&job.service, job);
+    let guard = cx.admission.enter(&job.service, job);
     let mut waits = false;
     loop {
-        if cx.admission.is_first(&ticket) {
+        if cx.admission.is_first(&guard) {
             match pick_with(care, cx, job, service, tried, waits) {
                 Pick::Chosen(upstream, version) => {
                     // There may be room for the next one too.
@@ -122,9 +122,9 @@
                 Pick::NotBefore(at) => {
                     let left = at.saturating_duration_since(clock::now());
                     let draw = rand::rng().random_range(0.0..1.0);
-                    return Err(Refusal::NotBefore(not_before(left, draw)));
+                    return Err(Refusal::NotBefore(delay_until_available(left, draw)));
                 }
-                Pick::Nobody => return Err(Refusal::NoUpstream(come_back(Reason::Nobody))),
+                Pick::Nobody => return Err(Refusal::NoUpstream(come_back(Reason::NoUpstream))),
             }
         }
         let now = clock::now();
@@ -141,7 +141,7 @@
 
 /// Chooses an upstream; for a suspect one where no other is being tried, if there is room.
 fn pick_with(
-    care: Option<Care>,
+    care: Option<Isolation>,
     cx: &Cx,
     job: &Job,
     service: &Service,
@@ -153,11 +153,11 @@
     };
     let trials = cx.suspects.trials(clock::now());
     match pick(cx, job, service, tried, &trials, waits) {
-        Pick::Full if care == Care::Preferably => pick(cx, job, service, tried, &[], waits),
+        Pick::Full if care == Isolation::Preferred => pick(cx, job, service, tried, &[], waits),
         picked => picked,
     }
 }
 
 fn come_back(reason: Reason) -> Duration {
-    after(reason, rand::rng().random_range(0.0..1.0))
+    jittered_delay(reason, rand::rng().random_range(0.0..1.0))
 }
--- a/crates/gateway/src/ages.rs
+++ b/crates/gateway/src/ages.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use base::Map;
-use decide::age::Stated;
+use decide::attempt_age::AttemptAgeEstimator;
 
 /// What callers of each route state.
 #[derive(Debug, Default)]
 pub struct Ages {
-    routes: Mutex<Map<String, Stated>>,
+    routes: Mutex<Map<String, AttemptAgeEstimator>>,
 }
 
 impl Ages {
@@ -20,11 +20,11 @@
         };
         let mut routes = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
         match routes.get_mut(route) {
-            Some(stated) => stated.waited(patience, now),
+            Some(stated) => stated.observe(patience, now),
             None => {
                 // The first request of a route, so that no name is copied for the others.
-                let mut stated = Stated::new(now);
-                let waited = stated.waited(patience, now);
+                let mut stated = AttemptAgeEstimator::new(now);
+                let waited = stated.observe(patience, now);
                 routes.insert(route.to_owned(), stated);
                 waited
             }
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -1,4 +1,4 @@
-//! Chooses the upstream of a request, by [`decide::placement`].
+//! Chooses the upstream of a request, by [`decide::load_balancing`].
 //!
 //! Candidates are where the request may run, in no drained failure domain, take new work, hold a version that
 //! may begin requests, weren't tried yet, and don't fail most of what they get. Cold ones get requests by
@@ -12,10 +12,10 @@
 
 use catalog::{Service, WeightsVersion};
 use decide::back_off::next_send;
-use decide::contention::{is_tried, moment};
+use decide::contention::{draw_period, should_try};
 use decide::draining::{DrainState, accepts_requests};
-use decide::outcomes::Counts;
-use decide::placement::{Ask, Candidate, JITTER};
+use decide::load_balancing::{Candidate, JITTER, Requirements};
+use decide::outlier_detection::OutcomeCounts;
 use decide::rate_limit::RateLimit;
 use decide::senders;
 use decide::slow_start::{Limit, is_due, is_sender};
@@ -126,10 +126,11 @@
         let draw = draw(cx, upstream, is_far, now);
         // Few gateways send to a cold or limited one at all, and at a pace.
         let is_contended = warmth == Warmth::Warm && limit.is_none();
-        if is_contended && !is_tried(ask.room(&candidate), gateways, is_far, waits, draw) {
+        if is_contended && !should_try(ask.free_capacity(&candidate), gateways, is_far, waits, draw)
+        {
             continue;
         }
-        if let Some(weight) = ask.weight(&candidate) {
+        if let Some(weight) = ask.cost(&candidate) {
             let weight = weight + rng.random_range(0.0..JITTER);
             search.offer(weight, upstream, view.serves, sound);
         }
@@ -229,11 +230,11 @@
 /// Whether an upstream fails most of what all gateways send there.
 fn is_failing(upstream: &Upstream, view: &View, others: Others, now: Instant) -> bool {
     // Few fail at all; only of these it matters what has faded.
-    if !Counts::may_be_failing(others.ended.failed + view.failed_at_most) {
+    if !OutcomeCounts::may_be_failing(others.ended.failed + view.failed_at_most) {
         return false;
     }
     let own = upstream.ended(now);
-    let ended = Counts {
+    let ended = OutcomeCounts {
         failed: others.ended.failed + own.failed,
         answered: others.ended.answered + own.answered,
     };
@@ -243,20 +244,20 @@
 /// A draw in 0..1 for an upstream, which holds for as long as other gateways don't know what this one sends.
 fn draw(cx: &Cx, upstream: &Upstream, is_far: bool, now: Instant) -> f64 {
     let since_start = now.saturating_duration_since(cx.started);
-    let moment = since_start.as_millis() / moment(is_far).as_millis();
+    let moment = since_start.as_millis() / draw_period(is_far).as_millis();
     // The upper half of the hash, so that it is exact as a float.
     let hash = cx.draws.hash_one((upstream.addr, moment)) >> 32;
     hash as f64 / f64::from(u32::MAX)
 }
 
-fn ask(cx: &Cx, job: &Job, service: &Service) -> Ask {
-    let tokens = job.call.expected_tokens.unwrap_or(job.call.max_tokens);
-    Ask {
-        standing: job.standing,
+fn ask(cx: &Cx, job: &Job, service: &Service) -> Requirements {
+    let expected_tokens = job.call.expected_tokens.unwrap_or(job.call.max_tokens);
+    Requirements {
+        deadline_class: job.standing,
         objective: job.route.objective,
         prompt_rate: service.engine.as_ref().map(|e| e.prompt_rate),
-        tokens,
-        alone: cx.gateways() == 1,
+        expected_tokens,
+        is_only_gateway: cx.gateways() == 1,
     }
 }
 
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -7,7 +7,7 @@
 use base::{Domains, Fingerprint, Model};
 use bytes::Bytes;
 use catalog::{ApiKey, Route, ServiceName, Tenant, WeightsVersion};
-use decide::Standing;
+use decide::DeadlineClass;
 use decide::residency::is_allowed;
 use hyper::HeaderMap;
 use hyper::http::{request, response};
@@ -134,7 +134,7 @@
     /// Who called; `None` on public routes without a known key.
     pub tenant: Option<Arc<Tenant>>,
     /// Whether it can still be served in its objective.
-    pub standing: Standing,
+    pub standing: DeadlineClass,
     /// When its head was read.
     pub arrived: Instant,
     /// When it gets its final answer at the latest.
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use decide::denial::{Denials, Verdict};
+use decide::denial::{Decision, DenialPolicy};
 use log::{debug, warn};
 use tokio::sync::Notify;
 use tokio::sync::watch;
@@ -30,7 +30,7 @@
 /// What is known of confirmations, and who is asked for them.
 #[derive(Debug)]
 pub struct Confirmations {
-    denials: Mutex<Denials>,
+    denials: Mutex<DenialPolicy>,
     /// Told that a question is over, whatever came of it.
     over: watch::Sender<bool>,
     /// Has what reads the store read it at once.
@@ -42,19 +42,19 @@
     /// Nothing asked yet; a change is to be in force within `config_time`.
     pub fn new(config_time: Duration, store: Arc<Notify>) -> Confirmations {
         Confirmations {
-            denials: Mutex::new(Denials::new(config_time)),
+            denials: Mutex::new(DenialPolicy::new(config_time)),
             over: watch::Sender::new(true),
             store,
             client: Client::new(Dial::within(ASK_TIMEOUT)),
         }
     }
 
-    fn denials(&self) -> MutexGuard<'_, Denials> {
+    fn denials(&self) -> MutexGuard<'_, DenialPolicy> {
         self.denials.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn oldest(&self) -> Duration {
-        self.denials().oldest()
+        self.denials().max_age()
     }
 }
 
@@ -68,8 +68,8 @@
 }
 
 /// What to do with a request that the configuration in force here doesn't allow.
-pub(crate) fn verdict(cx: &Cx) -> Verdict {
-    cx.confirmations.denials().verdict(age(cx), clock::now())
+pub(crate) fn verdict(cx: &Cx) -> Decision {
+    cx.confirmations.denials().decide(age(cx), clock::now())
 }
 
 /// Asks for a confirmation, unless that is under way, and waits until the configuration was confirmed or a
@@ -122,7 +122,7 @@
     let age = age(cx);
     if age > cx.confirmations.oldest() {
         warn!(target: PART, "{PART}: event=unconfirmed revision={} age={age:?} reaches_store={reaches_store}", cx.mirror.revision(cx.configuration.name));
-        cx.confirmations.denials().failed(clock::now());
+        cx.confirmations.denials().record_failure(clock::now());
     }
 }
 
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use catalog::{Access, Catalog, Route, Service, Tenant};
-use decide::Standing;
-use decide::denial::Verdict;
+use decide::DeadlineClass;
+use decide::denial::Decision;
 use hyper::http::request;
 use log::debug;
 use rand::RngExt;
@@ -126,12 +126,12 @@
         };
         match verdict(cx) {
             // The verdict goes for the configuration in force by now, so that one is looked up.
-            Verdict::Deny if !is_in_force(cx, &catalog) => continue,
-            Verdict::Deny => return Err(denial),
-            Verdict::Confirm => confirmed(cx, until).await,
-            Verdict::Refuse => return Err(Refusal::Unconfirmed(NOT_READY_RETRY)),
+            Decision::Deny if !is_in_force(cx, &catalog) => continue,
+            Decision::Deny => return Err(denial),
+            Decision::Confirm => confirmed(cx, until).await,
+            Decision::Refuse => return Err(Refusal::Unconfirmed(NOT_READY_RETRY)),
         }
-        if clock::now() >= until && verdict(cx) != Verdict::Deny {
+        if clock::now() >= until && verdict(cx) != Decision::Deny {
             return Err(Refusal::Unconfirmed(NOT_READY_RETRY));
         }
     }
@@ -160,12 +160,12 @@
 }
 
 /// Whether a request whose caller first asked so long ago can still have its first event in time.
-fn standing(call: &Call, route: &Route, service: &Service, waited: Duration) -> Standing {
+fn standing(call: &Call, route: &Route, service: &Service, waited: Duration) -> DeadlineClass {
     let engine = service.engine.as_ref();
     let read = engine.map_or(Duration::ZERO, |e| e.prompt_time(call.prompt_tokens));
     match waited + read < route.objective {
-        true => Standing::Timely,
-        false => Standing::Late,
+        true => DeadlineClass::OnTime,
+        false => DeadlineClass::Late,
     }
 }
 
@@ -239,7 +239,7 @@
 
 /// Sends a request until an upstream answers or it must be given up.
 async fn dispatch(cx: &Arc<Cx>, job: Job, service: Arc<Service>, mut record: Record) -> Response {
-    cx.budget.earn(&job.service, clock::now());
+    cx.budget.deposit(&job.service, clock::now());
     let job = Arc::new(job);
     let mut tries = Tries::default();
     loop {
@@ -334,7 +334,10 @@
     if job.remaining().is_zero() {
         return Some(Refusal::NoTime(NOT_TAKEN_RETRY));
     }
-    let pays = || cx.budget.spend(&job.service, cx.gateways(), clock::now());
+    let pays = || {
+        cx.budget
+            .withdraw(&job.service, cx.gateways(), clock::now())
+    };
     (attempts || (tries.sent > 0 && !pays())).then_some(Refusal::NotTaken(NOT_TAKEN_RETRY))
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -51,7 +51,7 @@
 
 use base::{Incarnation, Map, RandomHasher, Revision, VmId};
 use catalog::Catalog;
-use decide::retry::RetryBudget;
+use decide::retry_budget::RetryBudget;
 use mirror::{DocName, Mirror};
 use settings::GatewayCfg;
 use tokio::sync::{Notify, watch};
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -13,7 +13,7 @@
 
 use base::{DomainName, Map, Revision, VmId};
 use beacon::{Load, LoadChange, LoadNote};
-use decide::outcomes::Counts;
+use decide::outlier_detection::OutcomeCounts;
 
 use crate::tally::Tally;
 
@@ -41,7 +41,7 @@
     /// Prompt tokens not yet read.
     pub unread: u64,
     /// How requests lately ended.
-    pub ended: Counts,
+    pub ended: OutcomeCounts,
 }
 
 /// A note, and when its sender was last heard.
@@ -255,7 +255,7 @@
         Others {
             requests: self.requests + other.requests,
             unread: self.unread + other.unread,
-            ended: Counts {
+            ended: OutcomeCounts {
                 failed: self.ended.failed + other.ended.failed,
                 answered: self.ended.answered + other.ended.answered,
             },
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -5,7 +5,7 @@
 
 use base::{Fingerprint, Map};
 use beacon::{SuspectNote, TrialNote};
-use decide::quarantine::{Case, End, Quarantine, Trial};
+use decide::quarantine::{Quarantine, SuspectState, Trial, UpstreamExit};
 use tokio::sync::Notify;
 
 /// Times after which news is told again, in case that a datagram was lost: of 10 in 100 lost, four leave out
@@ -113,10 +113,11 @@
             .map(|(r, _)| *r)
             .collect();
         ready.sort_by_cached_key(|r| {
-            std::cmp::Reverse(quarantine.case(r).map_or(0, |c| c.ends.len()))
+            std::cmp::Reverse(quarantine.suspect(r).map_or(0, |c| c.exits.len()))
         });
         for request in ready {
-            let (Some(mut news), Some(case)) = (untold.remove(&request), quarantine.case(&request))
+            let (Some(mut news), Some(case)) =
+                (untold.remove(&request), quarantine.suspect(&request))
             else {
                 continue;
             };
@@ -140,35 +141,42 @@
 }
 
 /// What others are told of a request.
-pub(crate) fn note(request: Fingerprint, case: &Case, now: Instant) -> SuspectNote {
+pub(crate) fn note(request: Fingerprint, case: &SuspectState, now: Instant) -> SuspectNote {
     let ago = |at: Instant| now.saturating_duration_since(at);
     SuspectNote {
         request,
-        ends: case.ends.iter().map(|e| (e.life, ago(e.at))).collect(),
-        finished: case.finished.map(ago),
+        ends: case
+            .exits
+            .iter()
+            .map(|e| (e.incarnation, ago(e.at)))
+            .collect(),
+        finished: case.completed.map(ago),
         trial: case.trial.map(|t| TrialNote {
             number: t.number,
             upstream: t.upstream,
-            ago: ago(t.at),
+            ago: ago(t.started),
         }),
     }
 }
 
 /// What they tell, as this gateway's clock has it.
-pub(crate) fn case(note: SuspectNote, now: Instant) -> Case {
+pub(crate) fn case(note: SuspectNote, now: Instant) -> SuspectState {
     // What is older than this clock tells was as long ago as it can tell.
     let at = |ago: Duration| now.checked_sub(ago).unwrap_or(now);
-    Case {
-        ends: note
+    SuspectState {
+        exits: note
             .ends
             .into_iter()
-            .map(|(life, ago)| End { life, at: at(ago) })
+            .map(|(incarnation, ago)| UpstreamExit {
+                incarnation,
+                at: at(ago),
+            })
             .collect(),
-        finished: note.finished.map(at),
+        completed: note.finished.map(at),
         trial: note.trial.map(|t| Trial {
             number: t.number,
             upstream: t.upstream,
-            at: at(t.ago),
+            started: at(t.ago),
         }),
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -254,7 +254,10 @@
             return Err("the upstream broke off");
         }
         let mut slot = self.slot().await?;
-        if !cx.budget.spend(&job.service, cx.gateways(), clock::now()) {
+        if !cx
+            .budget
+            .withdraw(&job.service, cx.gateways(), clock::now())
+        {
             return Err("the retry budget is used up");
         }
         for _ in 0..MOST_UNREACHABLE {
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -10,7 +10,7 @@
 
 use base::{Fingerprint, LifeId, Set};
 use beacon::SuspectNote;
-use decide::quarantine::{Care, End, Quarantine, Verdict};
+use decide::quarantine::{Decision, Isolation, Quarantine, UpstreamExit};
 use log::info;
 use rand::RngExt;
 use tokio::sync::watch;
@@ -78,7 +78,7 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         let mut quarantine = self.suspects.quarantine();
-        let was_under_way = quarantine.release(&self.request, self.number, self.upstream);
+        let was_under_way = quarantine.end_trial(&self.request, self.number, self.upstream);
         drop(quarantine);
         if was_under_way {
             self.suspects.news.tell(self.request, Reach::Everywhere);
@@ -105,18 +105,18 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn verdict(&self, job: &Job) -> Verdict {
+    fn verdict(&self, job: &Job) -> Decision {
         let quarantine = self.quarantine();
         match quarantine.is_empty() {
             // Usually so; neither fingerprint nor time is asked for.
-            true => Verdict::Free,
-            false => quarantine.verdict(&job.fingerprint(), clock::now()),
+            true => Decision::Allow,
+            false => quarantine.decide(&job.fingerprint(), clock::now()),
         }
     }
 
     /// Upstreams where suspects are being tried.
     pub(crate) fn trials(&self, now: Instant) -> Vec<SocketAddr> {
-        self.quarantine().trials(now)
+        self.quarantine().trial_upstreams(now)
     }
 
     /// Begins a trial where the request is a suspect; refused where it may not be tried now. It's announced
@@ -126,11 +126,13 @@
         job: &Job,
         upstream: SocketAddr,
     ) -> Result<Option<Trial>, Refusal> {
-        if self.verdict(job) == Verdict::Free {
+        if self.verdict(job) == Decision::Allow {
             return Ok(None);
         }
         let request = job.fingerprint();
-        let begun = self.quarantine().begin(&request, upstream, clock::now());
+        let begun = self
+            .quarantine()
+            .begin_trial(&request, upstream, clock::now());
         let Some(number) = begun else {
             return Err(refusal(self.verdict(job)));
         };
@@ -142,7 +144,9 @@
         };
         self.news.tell(request, Reach::Everywhere);
         tokio::time::sleep(ANNOUNCE_TIME).await;
-        let goes_on = self.quarantine().is_under_way(&request, number, upstream);
+        let goes_on = self
+            .quarantine()
+            .is_current_trial(&request, number, upstream);
         match goes_on {
             true => Ok(Some(trial)),
             false => Err(refusal(self.verdict(job))),
@@ -177,15 +181,15 @@
         &self,
         request: Fingerprint,
         upstream: SocketAddr,
-        end: End,
+        end: UpstreamExit,
         route: &str,
         workspace: &str,
     ) {
         let now = clock::now();
         let mut quarantine = self.quarantine();
-        let is_news = quarantine.ended(request, upstream, end);
-        let is_held = quarantine.is_held(&request, now);
-        let ends = quarantine.case(&request).map_or(0, |c| c.ends.len());
+        let is_news = quarantine.record_exit(request, upstream, end);
+        let is_held = quarantine.is_quarantined(&request, now);
+        let ends = quarantine.suspect(&request).map_or(0, |c| c.exits.len());
         drop(quarantine);
         if is_news {
             self.news.tell(request, Reach::Everywhere);
@@ -207,7 +211,7 @@
             return;
         }
         let request = job.fingerprint();
-        if quarantine.finished(&request, now) {
+        if quarantine.record_completion(&request, now) {
             drop(quarantine);
             self.news.tell(request, Reach::Everywhere);
             self.changed.send_replace(());
@@ -218,7 +222,8 @@
     pub fn clear(&self, request: &Fingerprint) {
         let now = clock::now();
         let mut quarantine = self.quarantine();
-        let cleared = quarantine.is_held(request, now) && quarantine.finished(request, now);
+        let cleared =
+            quarantine.is_quarantined(request, now) && quarantine.record_completion(request, now);
         drop(quarantine);
         if cleared {
             info!(target: PART, "{PART}: event=cleared request={request}");
@@ -237,9 +242,9 @@
             let lately = note.ends.iter().filter(|(_, ago)| *ago < JUST_ENDED);
             let lately: Vec<LifeId> = lately.map(|(life, _)| *life).collect();
             let mut quarantine = self.quarantine();
-            let was_held = quarantine.is_held(&request, now);
+            let was_held = quarantine.is_quarantined(&request, now);
             let is_news = quarantine.merge(request, case(note, now));
-            let is_held = quarantine.is_held(&request, now);
+            let is_held = quarantine.is_quarantined(&request, now);
             drop(quarantine);
             if is_news {
                 ended.extend(lately);
@@ -258,7 +263,7 @@
     /// What is to be told now, at most so many cases to other failure domains; and when more is.
     pub(crate) fn due(&self, now: Instant, most_far: usize) -> (Due, Option<Instant>) {
         let mut quarantine = self.quarantine();
-        quarantine.forget(now);
+        quarantine.expire(now);
         self.news.due(&quarantine, now, most_far)
     }
 
@@ -266,7 +271,7 @@
     pub(crate) fn gravest(&self, most: usize) -> Vec<SuspectNote> {
         let now = clock::now();
         let quarantine = self.quarantine();
-        let gravest = quarantine.gravest().into_iter().take(most);
+        let gravest = quarantine.most_severe().into_iter().take(most);
         gravest.map(|(r, case)| note(r, case, now)).collect()
     }
 
@@ -279,8 +284,8 @@
     pub fn held(&self) -> Vec<SuspectNote> {
         let now = clock::now();
         let quarantine = self.quarantine();
-        let gravest = quarantine.gravest().into_iter();
-        let held = gravest.filter(|(r, _)| quarantine.is_held(r, now));
+        let gravest = quarantine.most_severe().into_iter();
+        let held = gravest.filter(|(r, _)| quarantine.is_quarantined(r, now));
         held.map(|(r, case)| note(r, case, now)).collect()
     }
 
@@ -320,9 +325,9 @@
     pub(crate) fn counts(&self) -> (usize, usize) {
         let now = clock::now();
         let quarantine = self.quarantine();
-        let open = quarantine.open();
-        let held = open.filter(|(r, _)| quarantine.is_held(r, now));
-        (quarantine.open().count(), held.count())
+        let open = quarantine.suspects();
+        let held = open.filter(|(r, _)| quarantine.is_quarantined(r, now));
+        (quarantine.suspects().count(), held.count())
     }
 
     /// Whether nothing is held against any request.
@@ -332,7 +337,7 @@
 }
 
 /// Waits until a request may be sent on; with which care, where upstreams ended under it.
-pub(crate) async fn permitted(cx: &Cx, job: &Job) -> Result<Option<Care>, Refusal> {
+pub(crate) async fn permitted(cx: &Cx, job: &Job) -> Result<Option<Isolation>, Refusal> {
     cx.suspects.wait_known(cx).await;
     if cx.suspects.is_empty() {
         return Ok(None);
@@ -341,29 +346,29 @@
     loop {
         let now = clock::now();
         match cx.suspects.verdict(job) {
-            Verdict::Free => return Ok(None),
-            Verdict::Try(care) => return Ok(Some(care)),
-            Verdict::Later(at) if at < job.deadline => {
+            Decision::Allow => return Ok(None),
+            Decision::Trial(care) => return Ok(Some(care)),
+            Decision::WaitUntil(at) if at < job.deadline => {
                 let apart = APART_TIME.mul_f64(rand::rng().random_range(0.0..1.0));
                 tokio::time::sleep(at.saturating_duration_since(now) + apart).await;
             }
-            Verdict::Tried if now < patience => tokio::time::sleep(RECHECK).await,
+            Decision::InTrial if now < patience => tokio::time::sleep(RECHECK).await,
             verdict => return Err(refusal(verdict)),
         }
     }
 }
 
 /// The answer to a request that may not be sent on now.
-fn refusal(verdict: Verdict) -> Refusal {
+fn refusal(verdict: Decision) -> Refusal {
     match verdict {
-        Verdict::Held(_) => Refusal::Held,
+        Decision::Quarantined(_) => Refusal::Held,
         _ => Refusal::Suspect(TRIED_RETRY),
     }
 }
 
-fn end_of(upstream: &Upstream) -> End {
-    End {
-        life: upstream.life,
+fn end_of(upstream: &Upstream) -> UpstreamExit {
+    UpstreamExit {
+        incarnation: upstream.life,
         at: clock::now(),
     }
 }
--- a/crates/gateway/src/tally.rs
+++ b/crates/gateway/src/tally.rs
@@ -5,7 +5,7 @@
 
 use base::Map;
 use beacon::Load;
-use decide::outcomes::Counts;
+use decide::outlier_detection::OutcomeCounts;
 
 use crate::loads::Others;
 
@@ -58,7 +58,7 @@
         Others {
             requests: sum.requests,
             unread: sum.unread,
-            ended: Counts {
+            ended: OutcomeCounts {
                 failed: f64::from(sum.failed),
                 answered: f64::from(sum.answered),
             },
--- a/crates/gateway/src/tell.rs
+++ b/crates/gateway/src/tell.rs
@@ -1,6 +1,6 @@
 //! What this gateway tells other processes by datagram.
 //!
-//! Within a failure domain it tells what it has in flight and which documents it holds: [`decide::audience`]
+//! Within a failure domain it tells what it has in flight and which documents it holds: [`decide::fanout`]
 //! says whom. The first of a failure domain passes changes on, and tells other domains the sum. A release is
 //! told to the loaders of the failure domain as it becomes known.
 
@@ -11,10 +11,11 @@
 
 use base::{Map, VmId};
 use beacon::{Beacon, Load, LoadChange, LoadNote, Msg, packed};
-use decide::audience::{
-    Audience, GATHER_TIME, RELAYS, REPEAT, delay, looks_again, of_change, passes_on, repeat,
+use decide::fanout::{
+    FanOut, LEADERS, MAX_UPDATE_INTERVAL, RELAY_INTERVAL, batch_delay, change_fan_out,
+    full_update_interval, recheck_interval, should_relay,
 };
-use decide::placement::TOKENS_PER_REQUEST;
+use decide::load_balancing::TOKENS_PER_REQUEST;
 use log::info;
 
 use crate::Cx;
@@ -51,15 +52,15 @@
     let mut told_all = told;
     loop {
         let others = near_gateways(&cx, clock::now()).len();
-        let due = told_all + repeat(others);
+        let due = told_all + full_update_interval(others);
         let news = tokio::select! {
             Ok(()) = peers.changed() => News::Due,
             _ = clock::sleep_until(due) => News::Due,
-            _ = clock::sleep_until(told + REPEAT) => News::StillUp,
+            _ = clock::sleep_until(told + MAX_UPDATE_INTERVAL) => News::StillUp,
             Ok(()) = documents.changed() => News::Document,
             _ = cx.admission.changed() => {
                 let audience = audience(&cx, News::Load, others, clock::now());
-                tokio::time::sleep(delay(audience)).await;
+                tokio::time::sleep(batch_delay(audience)).await;
                 News::Load
             }
         };
@@ -69,18 +70,20 @@
         let note = load_note(&cx, largest(own_loads(&cx)));
         beacon.send(&Msg::Load(note), receivers(&cx, &near, audience));
         told = now;
-        if audience == Audience::All {
+        if audience == FanOut::All {
             told_all = now;
         }
     }
 }
 
-fn audience(cx: &Cx, news: News, others: usize, now: Instant) -> Audience {
+fn audience(cx: &Cx, news: News, others: usize, now: Instant) -> FanOut {
     match news {
-        News::Due => Audience::All,
+        News::Due => FanOut::All,
         // Those that pass changes on tell all of a newer document; the others need not again.
-        News::Document if cx.loads.rank(&cx.cfg.node.vm, now) < RELAYS => Audience::All,
-        News::Document | News::Load | News::StillUp => of_change(others, cx.loads.is_relayed(now)),
+        News::Document if cx.loads.rank(&cx.cfg.node.vm, now) < LEADERS => FanOut::All,
+        News::Document | News::Load | News::StillUp => {
+            change_fan_out(others, cx.loads.is_relayed(now))
+        }
     }
 }
 
@@ -93,11 +96,11 @@
 }
 
 /// Those among them that are told.
-fn receivers(cx: &Cx, near: &Map<VmId, SocketAddr>, audience: Audience) -> Vec<SocketAddr> {
+fn receivers(cx: &Cx, near: &Map<VmId, SocketAddr>, audience: FanOut) -> Vec<SocketAddr> {
     match audience {
-        Audience::All => near.values().copied().collect(),
-        Audience::First => {
-            let first = cx.loads.first(&cx.cfg.node.vm, RELAYS, clock::now());
+        FanOut::All => near.values().copied().collect(),
+        FanOut::Leaders => {
+            let first = cx.loads.first(&cx.cfg.node.vm, LEADERS, clock::now());
             first
                 .iter()
                 .filter_map(|vm| near.get(vm))
@@ -110,18 +113,18 @@
 /// Passes changes of load on to all gateways of the failure domain, while that falls to this one.
 pub(crate) async fn pass_changes_on(cx: Arc<Cx>, beacon: Beacon) {
     let mut passed = Passed::default();
-    let mut pause = GATHER_TIME;
+    let mut pause = RELAY_INTERVAL;
     loop {
         tokio::time::sleep(pause).await;
         let now = clock::now();
         let near = near_gateways(&cx, now);
         let rank = cx.loads.rank(&cx.cfg.node.vm, now);
-        if !passes_on(near.len(), rank, cx.loads.is_relayed(now)) {
+        if !should_relay(near.len(), rank, cx.loads.is_relayed(now)) {
             passed = Passed::default();
-            pause = looks_again(rank);
+            pause = recheck_interval(rank);
             continue;
         }
-        pause = GATHER_TIME;
+        pause = RELAY_INTERVAL;
         let mut loads = cx.loads.near(now);
         loads.push(own_change(&cx));
         for msg in packed(passed.changes(loads, now), Msg::LoadChanges) {
@@ -154,7 +157,8 @@
             let LoadChange { from, loads, .. } = &gateway;
             let before = self.loads.get(from);
             let changed = changed(before.map_or(&[], |(loads, _)| loads), loads);
-            let is_due = before.is_none_or(|(_, at)| now.saturating_duration_since(*at) >= REPEAT);
+            let is_due = before
+                .is_none_or(|(_, at)| now.saturating_duration_since(*at) >= MAX_UPDATE_INTERVAL);
             if is_due || !changed.is_empty() {
                 self.loads.insert(from.clone(), (loads.clone(), now));
                 changes.push(LoadChange {
@@ -191,7 +195,7 @@
         let rank = cx.loads.rank(&cx.cfg.node.vm, clock::now());
         if rank > 0 {
             told = Told::default();
-            pause = looks_again(rank);
+            pause = recheck_interval(rank);
             continue;
         }
         pause = DOMAIN_LOAD_INTERVAL;
--- a/crates/gateway/src/unconfirmed.rs
+++ b/crates/gateway/src/unconfirmed.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use base::{Fingerprint, LifeId, Set};
-use decide::quarantine::End;
+use decide::quarantine::UpstreamExit;
 
 /// Time in which the platform's list shows that an upstream ended, which didn't show at once: an entry lapses
 /// after three heartbeats, and a list is up to 1.4 s old.
@@ -25,7 +25,7 @@
     /// Where it was sent.
     pub(crate) upstream: SocketAddr,
     /// The end of that upstream, if it was one.
-    pub(crate) end: End,
+    pub(crate) end: UpstreamExit,
 }
 
 /// Such ends, the earliest first.
@@ -52,7 +52,7 @@
         all.retain(|e| now.saturating_duration_since(e.end.at) < LIST_TIME);
         let (ended, unknown) = std::mem::take(&mut *all)
             .into_iter()
-            .partition(|e| !lives.contains(&e.end.life));
+            .partition(|e| !lives.contains(&e.end.incarnation));
         *all = unknown;
         ended
     }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -8,7 +8,7 @@
 use beacon::{EngineNote, Holding, Load};
 use catalog::{Born, ServiceName, WeightsVersion};
 
-use decide::outcomes::{Counts, Outcomes};
+use decide::outlier_detection::{OutcomeCounts, OutcomeTracker};
 use tokio::sync::Notify;
 
 use crate::suspects::Trial;
@@ -100,7 +100,7 @@
     failures: u32,
     pauses: u32,
     paused_until: Option<Instant>,
-    outcomes: Outcomes,
+    outcomes: OutcomeTracker,
     /// Until when it is cold, by what it last said of itself.
     cold_until: Option<Instant>,
     /// Set where it may have turned cold meanwhile: an entry counts only from a later revision on.
@@ -210,7 +210,7 @@
                 failures: 0,
                 pauses: 0,
                 paused_until: None,
-                outcomes: Outcomes::new(now),
+                outcomes: OutcomeTracker::new(now),
                 cold_until,
                 cold_unless_after: None,
                 chosen: None,
@@ -287,7 +287,7 @@
             slots: state.listed.slots.max(1),
             requests: state.requests,
             unread: state.unread,
-            failed_at_most: state.outcomes.failed_at_most(),
+            failed_at_most: state.outcomes.max_failed(),
             leaves_in: state.leaves_in(now),
             is_cold: state.is_cold(now),
             chosen: state.chosen,
@@ -295,7 +295,7 @@
     }
 
     /// How this gateway's requests lately ended there.
-    pub fn ended(&self, now: Instant) -> Counts {
+    pub fn ended(&self, now: Instant) -> OutcomeCounts {
         self.state().outcomes.counts(now)
     }
 
@@ -338,7 +338,7 @@
         let mut state = self.state();
         match health {
             Health::Answered => {
-                state.outcomes.answered(now);
+                state.outcomes.record_answer(now);
                 state.failures = 0;
                 state.pauses = 0;
                 state.paused_until = None;
@@ -358,7 +358,7 @@
                 return true;
             }
         }
-        state.outcomes.failed(now);
+        state.outcomes.record_failure(now);
         if state.failures < FAILURES_IN_A_ROW {
             return false;
         }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use catalog::{Release, ReleaseList};
-use decide::retry::RetryBudget;
+use decide::retry_budget::RetryBudget;
 use gateway::events::Events;
 use gateway::refusal::Refusal;
 use gateway::release::Releases;
@@ -35,7 +35,7 @@
 /// Spends until the budget is used up; returns how often it could.
 fn spend_all(budget: &RetryBudget, gateways: usize, now: Instant) -> usize {
     (0..10_000)
-        .take_while(|_| budget.spend(&service(), gateways, now))
+        .take_while(|_| budget.withdraw(&service(), gateways, now))
         .count()
 }
 
@@ -49,7 +49,7 @@
     for n in 0..gateways {
         let budget = RetryBudget::new(WINDOW, ratio, slack);
         for _ in 0..n * 50 {
-            budget.earn(&service(), now);
+            budget.deposit(&service(), now);
             requests += 1;
         }
         spent += spend_all(&budget, gateways, now);
@@ -65,7 +65,7 @@
     let budget = RetryBudget::new(WINDOW, 0.2, 10.0);
     let now = Instant::now();
     let spent = spend_all(&budget, 1, now);
-    assert!(spent > 0 && !budget.spend(&service(), 1, now));
+    assert!(spent > 0 && !budget.withdraw(&service(), 1, now));
 
     let later = now + WINDOW + Duration::from_millis(1);
 
--- a/crates/gateway/tests/loads.rs
+++ b/crates/gateway/tests/loads.rs
@@ -5,7 +5,7 @@
 
 use base::Map;
 use beacon::{Load, LoadChange, LoadNote, MAX_DATAGRAM, Msg, packed};
-use decide::outcomes::Outcomes;
+use decide::outlier_detection::OutcomeTracker;
 use gateway::loads::{LoadBook, largest, relays};
 use gateway::tell::{Passed, Told};
 use proptest::prelude::*;
@@ -155,8 +155,8 @@
 #[test]
 fn what_happened_a_while_ago_counts_less() {
     let now = Instant::now();
-    let mut outcomes = Outcomes::new(now);
-    (0..5).for_each(|_| outcomes.failed(now));
+    let mut outcomes = OutcomeTracker::new(now);
+    (0..5).for_each(|_| outcomes.record_failure(now));
 
     let at_once = outcomes.counts(now);
     let later = outcomes.counts(now + Duration::from_secs(4));
