--- a/crates/beacon/src/lib.rs
+++ b/crates/beacon/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use member::{Member, Role};
 pub use msg::{
-    ChunkMap, EngineNote, Holding, Load, LoadChange, LoadNote, Msg, RateLimitUpdate, SuspectNote,
-    TrialNote,
+    ChunkMap, EngineStatus, Holding, Load, LoadChange, LoadUpdate, Msg, RateLimitUpdate,
+    SuspectUpdate, TrialUpdate,
 };
-pub use socket::{Beacon, MAX_DATAGRAM, encode, packed};
+pub use socket::{Beacon, MAX_DATAGRAM, batch_messages, encode};
--- a/crates/beacon/src/member.rs
+++ b/crates/beacon/src/member.rs
@@ -26,5 +26,6 @@
     /// Where it takes datagrams.
     pub beacon: SocketAddr,
     /// Where it passes on copies of documents (gateway) or chunks (loader).
-    pub passes_on: SocketAddr,
+    #[serde(rename = "passes_on")]
+    pub peer_addr: SocketAddr,
 }
--- a/crates/beacon/src/msg.rs
+++ b/crates/beacon/src/msg.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::{DomainName, Fingerprint, Incarnation, LifeId, Model, Revision, VmId};
-use catalog::{Born, Release, ReleaseList};
+use catalog::{Release, ReleaseList, StartTime};
 use serde::{Deserialize, Serialize};
 
 /// What an engine holds of one model.
@@ -18,11 +18,11 @@
 
 /// State of an engine, told by the loader beside it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineNote {
+pub struct EngineStatus {
     /// Incarnation of the loader.
     pub incarnation: Incarnation,
     /// Grows with each note of that incarnation.
-    pub number: u64,
+    pub sequence: u64,
     /// Address of the engine.
     pub upstream: SocketAddr,
     /// Whether it takes no new requests while it changes weights.
@@ -38,7 +38,7 @@
     /// Releases that the loader acts on.
     pub releases: Vec<Release>,
     /// Start of the engine's life, where it tells it.
-    pub born: Option<Born>,
+    pub start_time: Option<StartTime>,
 }
 
 /// One gateway's part of what an upstream runs, and how it lately fared there.
@@ -59,7 +59,7 @@
 /// What a gateway has in flight at all upstreams, those left out having nothing; or what all gateways of a
 /// failure domain have, those left out having what was told before.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadNote {
+pub struct LoadUpdate {
     /// VM of the gateway that sends it.
     pub from: VmId,
     /// Its failure domain.
@@ -67,7 +67,7 @@
     /// Incarnation of the gateway.
     pub incarnation: Incarnation,
     /// Grows with each note of that incarnation.
-    pub number: u64,
+    pub sequence: u64,
     /// Whether it reaches the platform's store.
     pub reaches_store: bool,
     /// Revision of the configuration it holds.
@@ -79,7 +79,7 @@
     /// Time since the store last confirmed that list.
     pub upstreams_age: Duration,
     /// Where it passes its copies of documents on.
-    pub copies_at: SocketAddr,
+    pub replica_addr: SocketAddr,
     /// Loads; of a failure domain those that changed most, and nothing in flight where they have gone.
     pub loads: Vec<Load>,
 }
@@ -92,27 +92,28 @@
     /// Incarnation of that gateway.
     pub incarnation: Incarnation,
     /// Number of its note that tells the same.
-    pub number: u64,
+    pub sequence: u64,
     /// Loads that changed, as they are now; nothing in flight where they have gone.
     pub loads: Vec<Load>,
 }
 
 /// What a gateway knows of a request under which upstreams ended; times are those since.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNote {
+pub struct SuspectUpdate {
     /// The request.
     pub request: Fingerprint,
     /// Lives of upstreams that ended under it since it last ran to its end.
-    pub ends: Vec<(LifeId, Duration)>,
+    #[serde(rename = "ends")]
+    pub exits: Vec<(LifeId, Duration)>,
     /// When it last ran to its end, where that is remembered.
     pub finished: Option<Duration>,
     /// Where it's tried now, or was tried last.
-    pub trial: Option<TrialNote>,
+    pub trial: Option<TrialUpdate>,
 }
 
 /// A trial of such a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TrialNote {
+pub struct TrialUpdate {
     /// Grows with each trial of the request.
     pub number: u32,
     /// Where it runs; `None` once it's over.
@@ -125,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimitUpdate {
     /// The upstream.
-    pub life: LifeId,
+    pub incarnation: LifeId,
     /// Requests in 1,000 s that it takes of all gateways together; `None` once the limit is lifted.
     pub per_1000_s: Option<u64>,
     /// Time since that answer.
@@ -144,7 +145,7 @@
     /// A bit for each chunk, the lowest bit of each byte first.
     pub bits: Vec<u8>,
     /// Whether it asks the receiver to say what it has in turn.
-    pub asks: bool,
+    pub wants_reply: bool,
 }
 
 impl ChunkMap {
@@ -187,14 +188,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Msg {
     /// From a loader to gateways.
-    Engine(EngineNote),
+    Engine(EngineStatus),
     /// From a gateway to those of its failure domain: what it has in flight itself.
-    Load(LoadNote),
+    Load(LoadUpdate),
     /// From one gateway of a failure domain to one of each other domain: what all of its domain have in
     /// flight.
-    DomainLoad(LoadNote),
+    DomainLoad(LoadUpdate),
     /// The same, passed on to the gateways of the receiver's failure domain.
-    RelayedLoad(LoadNote),
+    RelayedLoad(LoadUpdate),
     /// From one gateway of a failure domain to the others of it: what changed lately in all of it.
     LoadChanges(Vec<LoadChange>),
     /// From a loader to loaders.
@@ -202,9 +203,9 @@
     /// From a gateway to a loader whose releases are older than the gateway's.
     Releases(ReleaseList),
     /// From a gateway to those of its failure domain: requests under which upstreams ended.
-    Suspects(Vec<SuspectNote>),
+    Suspects(Vec<SuspectUpdate>),
     /// The same to a gateway of another failure domain, which passes on what is news to it.
-    FarSuspects(Vec<SuspectNote>),
+    FarSuspects(Vec<SuspectUpdate>),
     /// From a gateway to those of its failure domain: rate limits that upstreams advertise.
     RateLimits(Vec<RateLimitUpdate>),
     /// The same to a gateway of another failure domain, which relays what it didn't know.
--- a/crates/beacon/src/socket.rs
+++ b/crates/beacon/src/socket.rs
@@ -61,7 +61,7 @@
     }
 
     /// The next message, and who sent it; passes over what is no message.
-    pub async fn next(&self) -> (Msg, SocketAddr) {
+    pub async fn recv(&self) -> (Msg, SocketAddr) {
         let mut buf = [0; RECEIVE_BUFFER];
         loop {
             let (n, from) = match self.socket.recv_from(&mut buf).await {
@@ -82,7 +82,7 @@
 }
 
 /// Items in as few datagrams as hold them, each datagram a message made by `msg`.
-pub fn packed<T: Clone>(items: Vec<T>, msg: fn(Vec<T>) -> Msg) -> Vec<Msg> {
+pub fn batch_messages<T: Clone>(items: Vec<T>, msg: fn(Vec<T>) -> Msg) -> Vec<Msg> {
     // Bytes that an item takes, beside the head of the datagram.
     let size = |item: &T| encode(&msg(vec![item.clone()])).map_or(MAX_DATAGRAM, |buf| buf.len());
     let mut packed = Vec::new();
--- a/crates/beacon/tests/messages.rs
+++ b/crates/beacon/tests/messages.rs
@@ -4,20 +4,20 @@
 use std::time::Duration;
 
 use base::Fingerprint;
-use beacon::{MAX_DATAGRAM, Msg, SuspectNote, TrialNote, encode, packed};
+use beacon::{MAX_DATAGRAM, Msg, SuspectUpdate, TrialUpdate, batch_messages, encode};
 use proptest::prelude::*;
 
 fn upstream(n: u16) -> SocketAddr {
     ([10, 0, 0, 1], n).into()
 }
 
-fn note(n: u64, ends: usize) -> SuspectNote {
+fn note(n: u64, exits: usize) -> SuspectUpdate {
     let ago = Duration::from_millis(n);
-    SuspectNote {
+    SuspectUpdate {
         request: Fingerprint::of(&[&n.to_le_bytes()]),
-        ends: (0..ends).map(|i| (u64::MAX - i as u64, ago)).collect(),
+        exits: (0..exits).map(|i| (u64::MAX - i as u64, ago)).collect(),
         finished: Some(ago),
-        trial: Some(TrialNote {
+        trial: Some(TrialUpdate {
             number: u32::MAX,
             upstream: Some(upstream(9)),
             ago,
@@ -42,9 +42,9 @@
     fn suspects_are_packed_into_datagrams_and_none_is_left_out(
         ends in proptest::collection::vec(0..9_usize, 0..120)
     ) {
-        let notes: Vec<SuspectNote> = ends.iter().zip(0..).map(|(e, n)| note(n, *e)).collect();
+        let notes: Vec<SuspectUpdate> = ends.iter().zip(0..).map(|(e, n)| note(n, *e)).collect();
 
-        let msgs = packed(notes.clone(), Msg::FarSuspects);
+        let msgs = batch_messages(notes.clone(), Msg::FarSuspects);
 
         let mut told = Vec::new();
         for msg in &msgs {
--- a/crates/catalog/src/engine.rs
+++ b/crates/catalog/src/engine.rs
@@ -20,7 +20,7 @@
 
 impl Engine {
     /// Whether a model is run.
-    pub fn runs(&self, model: &str) -> bool {
+    pub fn has_model(&self, model: &str) -> bool {
         self.models.iter().any(|m| m == model)
     }
 
@@ -43,7 +43,7 @@
 
 impl Origin {
     /// Time in which its link carries some bytes.
-    pub fn carry_time(&self, bytes: u64) -> Duration {
+    pub fn transfer_time(&self, bytes: u64) -> Duration {
         match self.link_mbps > 0.0 {
             true => Duration::from_secs_f64(bytes as f64 * 8.0 / (self.link_mbps * 1e6)),
             false => Duration::ZERO,
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use engine::{Engine, Origin};
-pub use route::{Kind, Route, Share};
+pub use route::{Route, RouteKind, Share};
 
 /// Name of a service that routes lead to.
 pub type ServiceName = String;
@@ -23,7 +23,7 @@
 pub type ApiKey = String;
 
 /// Start of an upstream's life, as Unix time in milliseconds; tells two lives under one id apart.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// Version of a model's weights; grows with each release.
 pub type WeightsVersion = u64;
@@ -117,13 +117,13 @@
 
 /// A caller's workspace.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Tenant {
+pub struct WorkspacePolicy {
     /// Name that upstreams are told.
     pub workspace: Workspace,
     /// Rank of its requests in place of the route's, 0 being the most urgent.
     pub priority: Option<u8>,
     /// Places where its requests may run; empty for anywhere.
-    pub allowed: Vec<Place>,
+    pub allowed_places: Vec<Place>,
 }
 
 /// Who may call.
@@ -132,7 +132,7 @@
     /// No workspaces are configured; nobody needs a key.
     Open,
     /// Callers show one of these keys, but on public routes.
-    Keys(Map<ApiKey, Arc<Tenant>>),
+    Keys(Map<ApiKey, Arc<WorkspacePolicy>>),
 }
 
 /// One revision of the configuration.
--- a/crates/catalog/src/route.rs
+++ b/crates/catalog/src/route.rs
@@ -8,7 +8,7 @@
 
 /// What may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// Idempotent; may run more than once.
     Idempotent,
     /// Runs at most once for each attempt of the caller.
@@ -20,15 +20,18 @@
     },
 }
 
-impl Kind {
+impl RouteKind {
     /// Whether a request may be sent again after it may have run.
-    pub fn repeatable(self) -> bool {
-        matches!(self, Kind::Idempotent | Kind::Stream { resumable: true })
+    pub fn is_repeatable(self) -> bool {
+        matches!(
+            self,
+            RouteKind::Idempotent | RouteKind::Stream { resumable: true }
+        )
     }
 
     /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream { .. })
+        matches!(self, RouteKind::Stream { .. })
     }
 }
 
@@ -51,7 +54,7 @@
     /// Prefix of the path; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time a request is held.
     pub timeout: Duration,
     /// Time within which an answer, or the first event of a stream, is of full use.
@@ -63,7 +66,7 @@
     /// Whether callers need no key.
     pub public: bool,
     /// Places where its requests may run; empty for anywhere.
-    pub allowed: Vec<Place>,
+    pub allowed_places: Vec<Place>,
     /// Services; never empty.
     pub shares: Vec<Share>,
 }
--- a/crates/catalog/tests/origin.rs
+++ b/crates/catalog/tests/origin.rs
@@ -14,12 +14,12 @@
 
 #[test]
 fn a_link_carries_bytes_at_its_rate() {
-    let time = origin(8.0).carry_time(25_000);
+    let time = origin(8.0).transfer_time(25_000);
 
     assert_eq!(time, Duration::from_millis(25));
 }
 
 #[test]
 fn a_link_whose_rate_is_not_known_delays_nothing() {
-    assert_eq!(origin(0.0).carry_time(25_000), Duration::ZERO);
+    assert_eq!(origin(0.0).transfer_time(25_000), Duration::ZERO);
 }
--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use beacon::{Beacon, Msg, RateLimitUpdate, packed};
+use beacon::{Beacon, Msg, RateLimitUpdate, batch_messages};
 
 use crate::Cx;
 use crate::spread::{Messages, send};
@@ -54,7 +54,7 @@
 
 /// Sends all limits that hold to a gateway that has just started.
 pub(crate) fn sync(cx: &Cx, beacon: &Beacon, starter: SocketAddr) {
-    for msg in packed(cx.feedback.updates(clock::now()), Msg::RateLimits) {
+    for msg in batch_messages(cx.feedback.updates(clock::now()), Msg::RateLimits) {
         beacon.send(&msg, [starter]);
     }
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -6,7 +6,7 @@
 
 use base::{Domains, Fingerprint, Model};
 use bytes::Bytes;
-use catalog::{ApiKey, Route, ServiceName, Tenant, WeightsVersion};
+use catalog::{ApiKey, Route, ServiceName, WeightsVersion, WorkspacePolicy};
 use decide::Standing;
 use decide::residency::is_allowed;
 use hyper::HeaderMap;
@@ -132,7 +132,7 @@
     /// Service drawn from the route's shares.
     pub service: ServiceName,
     /// Who called; `None` on public routes without a known key.
-    pub tenant: Option<Arc<Tenant>>,
+    pub tenant: Option<Arc<WorkspacePolicy>>,
     /// Whether it can still be served in its objective.
     pub standing: Standing,
     /// When its head was read.
@@ -188,12 +188,12 @@
 
     /// Returns whether it may run in a failure domain.
     pub fn may_run_in(&self, domains: &Domains, domain: &str) -> bool {
-        let workspace = self.tenant.as_ref().map_or(&[][..], |t| &t.allowed);
-        is_allowed(domains, domain, &self.route.allowed, workspace)
+        let workspace = self.tenant.as_ref().map_or(&[][..], |t| &t.allowed_places);
+        is_allowed(domains, domain, &self.route.allowed_places, workspace)
     }
 
     /// Whether it may be sent again after it may have run.
     pub fn repeatable(&self) -> bool {
-        self.route.kind.repeatable()
+        self.route.kind.is_repeatable()
     }
 }
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -145,7 +145,7 @@
     let oldest = cx.confirmations.oldest();
     let oldest = oldest - ASK_TIMEOUT.min(oldest / 2);
     let client = &cx.confirmations.client;
-    let asked = mirror::ask_confirmed(&cx.mirror, name, client, from, ASK_TIMEOUT, oldest);
+    let asked = mirror::fetch_confirmed(&cx.mirror, name, client, from, ASK_TIMEOUT, oldest);
     match asked.await {
         Ok(newer) => debug!(target: PART, "{PART}: event=asked from={from} newer={newer}"),
         Err(e) => debug!(target: PART, "{PART}: event=not_asked from={from} why=\"{e}\""),
@@ -178,7 +178,7 @@
 /// Has the configuration confirmed before it is passed on to a process that wants it so; a process that asks
 /// is never asked back.
 pub(crate) async fn before_passing_on(cx: &Cx, req: &Request) {
-    let Some(oldest) = mirror::oldest_wanted(req) else {
+    let Some(oldest) = mirror::requested_max_age(req) else {
         return;
     };
     let age = cx.mirror.age(cx.configuration.name);
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use base::Revision;
-use beacon::{Beacon, EngineNote, Holding, LoadNote, Msg, RateLimitUpdate, SuspectNote};
+use beacon::{Beacon, EngineStatus, Holding, LoadUpdate, Msg, RateLimitUpdate, SuspectUpdate};
 use log::{debug, warn};
 use mirror::DocName;
 use web::{Client, Dial};
@@ -36,7 +36,7 @@
 pub(crate) async fn listen(cx: Arc<Cx>, beacon: Beacon) {
     let client = Client::new(Dial::within(COPY_TIMEOUT));
     loop {
-        let (msg, from) = beacon.next().await;
+        let (msg, from) = beacon.recv().await;
         match msg {
             Msg::Load(note) => hear(&cx, &client, &beacon, note, from),
             Msg::DomainLoad(note) => {
@@ -61,7 +61,7 @@
 
 /// Takes what another gateway tells of requests under which upstreams ended; those upstreams are left alone,
 /// so that not each gateway finds out by requests that reach nobody.
-fn hear_suspects(cx: &Cx, notes: Vec<SuspectNote>, pass_on: Option<Reach>) {
+fn hear_suspects(cx: &Cx, notes: Vec<SuspectUpdate>, pass_on: Option<Reach>) {
     let ended = cx.suspects.hear(notes, pass_on);
     if ended.is_empty() {
         return;
@@ -80,7 +80,7 @@
 }
 
 /// Takes what a loader tells of its engine, and tells it of releases that it has missed.
-fn hear_loader(cx: &Cx, beacon: &Beacon, note: EngineNote, from: SocketAddr) {
+fn hear_loader(cx: &Cx, beacon: &Beacon, note: EngineStatus, from: SocketAddr) {
     let now = clock::now();
     for Holding { model, version } in &note.holdings {
         if let Some(version) = version {
@@ -96,13 +96,13 @@
 }
 
 /// Takes what a gateway of the failure domain tells: its load, and which documents it holds.
-fn hear(cx: &Arc<Cx>, client: &Client, beacon: &Beacon, note: LoadNote, sender: SocketAddr) {
+fn hear(cx: &Arc<Cx>, client: &Client, beacon: &Beacon, note: LoadUpdate, sender: SocketAddr) {
     // That the store confirmed the list goes for this process too.
     if let Some(confirmed) = clock::now().checked_sub(note.upstreams_age) {
         cx.mirror
             .confirm(cx.upstreams.name, note.upstreams, confirmed);
     }
-    let from = note.copies_at;
+    let from = note.replica_addr;
     copy_newer(cx, client, |cx| &cx.configuration, note.configuration, from);
     copy_newer(cx, client, |cx| &cx.upstreams, note.upstreams, from);
     copy_newer(cx, client, |cx| &cx.members, note.members, from);
@@ -115,7 +115,7 @@
 }
 
 /// Takes what another failure domain tells.
-fn hear_domain(cx: &Arc<Cx>, client: &Client, note: LoadNote) {
+fn hear_domain(cx: &Arc<Cx>, client: &Client, note: LoadUpdate) {
     follow(cx, client, &note);
     cx.loads.take_domain(note, clock::now());
 }
@@ -145,13 +145,13 @@
 
 /// Brings the configuration of another failure domain where it is newer, unless that is under way: a note
 /// comes every few milliseconds, and each copy takes a part of two links.
-fn follow(cx: &Arc<Cx>, client: &Client, note: &LoadNote) {
+fn follow(cx: &Arc<Cx>, client: &Client, note: &LoadUpdate) {
     let wanted = note.configuration;
     let behind = wanted > cx.mirror.revision(cx.configuration.name);
     if !behind || cx.catching_up.swap(true, Relaxed) {
         return;
     }
-    let (cx, client, from) = (cx.clone(), client.clone(), note.copies_at);
+    let (cx, client, from) = (cx.clone(), client.clone(), note.replica_addr);
     tokio::spawn(async move {
         catch_up(&cx, &client, from, wanted).await;
         cx.catching_up.store(false, Relaxed);
@@ -168,7 +168,7 @@
 
 /// Takes another gateway's copy of a document; `false` where none came.
 async fn copy(cx: &Cx, client: &Client, name: DocName, from: SocketAddr) -> bool {
-    let asked = mirror::ask(&cx.mirror, name, client, from, COPY_TIMEOUT).await;
+    let asked = mirror::fetch(&cx.mirror, name, client, from, COPY_TIMEOUT).await;
     match &asked {
         Ok(newer) => {
             debug!(target: PART, "{PART}: event=copied table={name} from={from} newer={newer}");
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use catalog::{Access, Catalog, Route, Service, Tenant};
+use catalog::{Access, Catalog, Route, Service, WorkspacePolicy};
 use decide::Standing;
 use decide::denial::Verdict;
 use hyper::http::request;
@@ -103,7 +103,7 @@
 struct Allowed {
     catalog: Arc<Catalog>,
     route: Arc<Route>,
-    tenant: Option<Arc<Tenant>>,
+    tenant: Option<Arc<WorkspacePolicy>>,
 }
 
 /// Finds route and workspace. A request that the configuration doesn't allow is denied only where it was
@@ -181,7 +181,11 @@
 }
 
 /// The workspace that holds the caller's key.
-fn tenant(catalog: &Catalog, call: &Call, public: bool) -> Result<Option<Arc<Tenant>>, Refusal> {
+fn tenant(
+    catalog: &Catalog,
+    call: &Call,
+    public: bool,
+) -> Result<Option<Arc<WorkspacePolicy>>, Refusal> {
     let Access::Keys(keys) = &catalog.access else {
         return Ok(None);
     };
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use base::{DomainName, Map, Revision, VmId};
-use beacon::{Load, LoadChange, LoadNote};
+use beacon::{Load, LoadChange, LoadUpdate};
 use decide::outcomes::Counts;
 
 use crate::tally::Tally;
@@ -47,7 +47,7 @@
 /// A note, and when its sender was last heard.
 #[derive(Debug)]
 struct Heard {
-    note: LoadNote,
+    note: LoadUpdate,
     at: Instant,
 }
 
@@ -80,7 +80,7 @@
 
     /// Takes a note of a gateway of the own failure domain, unless a newer one is known; `true` where
     /// that gateway wasn't heard lately, or has started anew.
-    pub fn take(&self, note: LoadNote, now: Instant) -> bool {
+    pub fn take(&self, note: LoadUpdate, now: Instant) -> bool {
         let mut state = self.state();
         state.sweep(now);
         let known = state.near.get(&note.from);
@@ -108,7 +108,7 @@
     /// Gateways of the own failure domain that were heard lately, and where they take datagrams.
     pub fn beacons(&self, now: Instant) -> Vec<(VmId, SocketAddr)> {
         let state = self.state();
-        let beacon = |note: &LoadNote| Some((note.from.clone(), *state.beacons.get(&note.from)?));
+        let beacon = |note: &LoadUpdate| Some((note.from.clone(), *state.beacons.get(&note.from)?));
         state.heard(now).filter_map(beacon).collect()
     }
 
@@ -125,7 +125,7 @@
 
     /// Takes what has changed of the sum of another failure domain, unless newer changes of the same gateway are
     /// known; of another gateway, or one that has started anew, it is the sum from now on.
-    pub fn take_domain(&self, note: LoadNote, now: Instant) {
+    pub fn take_domain(&self, note: LoadUpdate, now: Instant) {
         let mut state = self.state();
         state.sweep(now);
         let known = state.far.get(&note.domain);
@@ -173,7 +173,7 @@
         let near = state.heard(now).map(|note| LoadChange {
             from: note.from.clone(),
             incarnation: note.incarnation,
-            number: note.number,
+            sequence: note.sequence,
             loads: note.loads.clone(),
         });
         near.collect()
@@ -203,7 +203,7 @@
         let near = state.heard(now).filter(|note| note.reaches_store);
         let first = near.min_by(|a, b| a.from.cmp(&b.from));
         match first {
-            Some(note) if !reaches_store || note.from < *own => Some(note.copies_at),
+            Some(note) if !reaches_store || note.from < *own => Some(note.replica_addr),
             None if !reaches_store => state.far_reader(now),
             _ => None,
         }
@@ -288,8 +288,8 @@
 impl Heard {
     /// Whether a note goes in place of this one: it is a later one of the same sender, or this one
     /// is out of date. The time of day, from which incarnations come, may have been set back.
-    fn is_before(&self, note: &LoadNote, now: Instant) -> bool {
-        let later = (note.incarnation, note.number) > (self.note.incarnation, self.note.number);
+    fn is_before(&self, note: &LoadUpdate, now: Instant) -> bool {
+        let later = (note.incarnation, note.sequence) > (self.note.incarnation, self.note.sequence);
         later || note.from != self.note.from || self.is_old(now)
     }
 
@@ -305,20 +305,21 @@
 
 impl State {
     /// Notes of the gateways of the failure domain that were heard lately.
-    fn heard(&self, now: Instant) -> impl Iterator<Item = &LoadNote> {
+    fn heard(&self, now: Instant) -> impl Iterator<Item = &LoadUpdate> {
         let heard = move |h: &&Heard| h.is_recent(now);
         self.near.values().filter(heard).map(|h| &h.note)
     }
 
     /// Those that come before one by VM.
-    fn before(&self, own: &VmId, now: Instant) -> impl Iterator<Item = &LoadNote> {
+    fn before(&self, own: &VmId, now: Instant) -> impl Iterator<Item = &LoadUpdate> {
         self.heard(now).filter(move |note| note.from < *own)
     }
 
     /// Where a gateway of another failure domain that reaches the store passes copies on.
     fn far_reader(&self, now: Instant) -> Option<SocketAddr> {
         let mut far = self.far.values().filter(|h| h.is_recent(now));
-        far.find(|h| h.note.reaches_store).map(|h| h.note.copies_at)
+        far.find(|h| h.note.reaches_store)
+            .map(|h| h.note.replica_addr)
     }
 
     /// Puts changed loads in place of those of the gateway's note.
@@ -327,17 +328,17 @@
             return;
         };
         let note = &mut heard.note;
-        if note.incarnation != change.incarnation || note.number >= change.number {
+        if note.incarnation != change.incarnation || note.sequence >= change.sequence {
             return;
         }
         heard.at = now;
-        note.number = change.number;
+        note.sequence = change.sequence;
         replace(&mut note.loads, change.loads, &mut self.near_sums);
     }
 
     /// The same with the sum of another failure domain.
-    fn change_far(&mut self, note: LoadNote, now: Instant) {
-        let sender = |note: &LoadNote| (note.from.clone(), note.incarnation);
+    fn change_far(&mut self, note: LoadUpdate, now: Instant) {
+        let sender = |note: &LoadUpdate| (note.from.clone(), note.incarnation);
         let known = self.far.remove(&note.domain);
         let goes_on = |h: &Heard| sender(&h.note) == sender(&note) && !h.is_old(now);
         let mut loads = match known {
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use base::{DomainName, LifeId, Map, Revision, Set};
-use beacon::EngineNote;
+use beacon::EngineStatus;
 use catalog::ServiceName;
 use log::info;
 
@@ -144,7 +144,7 @@
     }
 
     /// Takes a loader's note; `true` where it changes what an upstream can serve.
-    pub fn note(&self, note: EngineNote, now: Instant) -> bool {
+    pub fn note(&self, note: EngineStatus, now: Instant) -> bool {
         let upstream = self.state().by_addr.get(&note.upstream).cloned();
         upstream.is_some_and(|u| u.note(note, now))
     }
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use base::{Fingerprint, Map};
-use beacon::{SuspectNote, TrialNote};
+use beacon::{SuspectUpdate, TrialUpdate};
 use decide::quarantine::{Case, End, Quarantine, Trial};
 use tokio::sync::Notify;
 
@@ -65,9 +65,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Due {
     /// To gateways of the failure domain.
-    pub(crate) near: Vec<SuspectNote>,
+    pub(crate) near: Vec<SuspectUpdate>,
     /// To other failure domains.
-    pub(crate) far: Vec<SuspectNote>,
+    pub(crate) far: Vec<SuspectUpdate>,
 }
 
 /// News that is still to be told.
@@ -140,13 +140,13 @@
 }
 
 /// What others are told of a request.
-pub(crate) fn note(request: Fingerprint, case: &Case, now: Instant) -> SuspectNote {
+pub(crate) fn note(request: Fingerprint, case: &Case, now: Instant) -> SuspectUpdate {
     let ago = |at: Instant| now.saturating_duration_since(at);
-    SuspectNote {
+    SuspectUpdate {
         request,
-        ends: case.ends.iter().map(|e| (e.life, ago(e.at))).collect(),
+        exits: case.ends.iter().map(|e| (e.life, ago(e.at))).collect(),
         finished: case.finished.map(ago),
-        trial: case.trial.map(|t| TrialNote {
+        trial: case.trial.map(|t| TrialUpdate {
             number: t.number,
             upstream: t.upstream,
             ago: ago(t.at),
@@ -155,12 +155,12 @@
 }
 
 /// What they tell, as this gateway's clock has it.
-pub(crate) fn case(note: SuspectNote, now: Instant) -> Case {
+pub(crate) fn case(note: SuspectUpdate, now: Instant) -> Case {
     // What is older than this clock tells was as long ago as it can tell.
     let at = |ago: Duration| now.checked_sub(ago).unwrap_or(now);
     Case {
         ends: note
-            .ends
+            .exits
             .into_iter()
             .map(|(life, ago)| End { life, at: at(ago) })
             .collect(),
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -115,7 +115,7 @@
         relay_to: Option<Reach>,
         now: Instant,
     ) -> bool {
-        let known = self.known.get(&update.life).copied();
+        let known = self.known.get(&update.incarnation).copied();
         // The clock may not reach that far back.
         let at = now.checked_sub(update.ago).unwrap_or(now);
         if known.is_some_and(|k| k.at >= at) {
@@ -128,7 +128,7 @@
             announced: now,
             pending: relay_to.map(|reach| Announcement::once(now, reach)),
         };
-        self.known.insert(update.life, known);
+        self.known.insert(update.incarnation, known);
         was_limited && update.per_1000_s.is_none()
     }
 
@@ -180,7 +180,7 @@
 impl Known {
     fn update(&self, life: LifeId, now: Instant) -> RateLimitUpdate {
         RateLimitUpdate {
-            life,
+            incarnation: life,
             per_1000_s: self.per_1000_s,
             ago: now.saturating_duration_since(self.at),
         }
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/spread.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use beacon::{Beacon, Msg, SuspectNote, packed};
+use beacon::{Beacon, Msg, SuspectUpdate, batch_messages};
 
 use crate::Cx;
 use crate::loads::relays;
@@ -78,7 +78,7 @@
     pub(crate) far: fn(Vec<T>) -> Msg,
 }
 
-const SUSPECTS: Messages<SuspectNote> = Messages {
+const SUSPECTS: Messages<SuspectUpdate> = Messages {
     near: Msg::Suspects,
     far: Msg::FarSuspects,
 };
@@ -97,11 +97,11 @@
         return;
     }
     let to: Vec<SocketAddr> = near_gateways(cx, clock::now()).into_values().collect();
-    for msg in packed(near, messages.near) {
+    for msg in batch_messages(near, messages.near) {
         beacon.send(&msg, to.iter().copied());
     }
     let to = far_receivers(cx, number);
-    for msg in packed(far, messages.far) {
+    for msg in batch_messages(far, messages.far) {
         beacon.send(&msg, to.iter().copied());
     }
 }
@@ -120,7 +120,7 @@
 
 /// Tells a gateway that has just started what is known.
 pub(crate) fn greet(cx: &Cx, beacon: &Beacon, starter: SocketAddr) {
-    for msg in packed(cx.suspects.gravest(MOST_RENEWED), Msg::Suspects) {
+    for msg in batch_messages(cx.suspects.gravest(MOST_RENEWED), Msg::Suspects) {
         beacon.send(&msg, [starter]);
     }
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use base::{Fingerprint, LifeId, Set};
-use beacon::SuspectNote;
+use beacon::SuspectUpdate;
 use decide::quarantine::{Care, End, Quarantine, Verdict};
 use log::info;
 use rand::RngExt;
@@ -229,12 +229,12 @@
 
     /// Takes what another gateway tells; `reach` says whom what is news is passed on to, if anyone. Gives the
     /// lives of upstreams that ended just now, as far as that is news.
-    pub fn hear(&self, notes: Vec<SuspectNote>, reach: Option<Reach>) -> Vec<LifeId> {
+    pub fn hear(&self, notes: Vec<SuspectUpdate>, reach: Option<Reach>) -> Vec<LifeId> {
         let now = clock::now();
         let mut ended = Vec::new();
         for note in notes {
             let request = note.request;
-            let lately = note.ends.iter().filter(|(_, ago)| *ago < JUST_ENDED);
+            let lately = note.exits.iter().filter(|(_, ago)| *ago < JUST_ENDED);
             let lately: Vec<LifeId> = lately.map(|(life, _)| *life).collect();
             let mut quarantine = self.quarantine();
             let was_held = quarantine.is_held(&request, now);
@@ -263,7 +263,7 @@
     }
 
     /// All that something is held against, the gravest first, at most so many.
-    pub(crate) fn gravest(&self, most: usize) -> Vec<SuspectNote> {
+    pub(crate) fn gravest(&self, most: usize) -> Vec<SuspectUpdate> {
         let now = clock::now();
         let quarantine = self.quarantine();
         let gravest = quarantine.gravest().into_iter().take(most);
@@ -276,7 +276,7 @@
     }
 
     /// Requests that are held back now.
-    pub fn held(&self) -> Vec<SuspectNote> {
+    pub fn held(&self) -> Vec<SuspectUpdate> {
         let now = clock::now();
         let quarantine = self.quarantine();
         let gravest = quarantine.gravest().into_iter();
--- a/crates/gateway/src/tell.rs
+++ b/crates/gateway/src/tell.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use base::{Map, VmId};
-use beacon::{Beacon, Load, LoadChange, LoadNote, Msg, packed};
+use beacon::{Beacon, Load, LoadChange, LoadUpdate, Msg, batch_messages};
 use decide::audience::{
     Audience, GATHER_TIME, RELAYS, REPEAT, delay, looks_again, of_change, passes_on, repeat,
 };
@@ -124,7 +124,7 @@
         pause = GATHER_TIME;
         let mut loads = cx.loads.near(now);
         loads.push(own_change(&cx));
-        for msg in packed(passed.changes(loads, now), Msg::LoadChanges) {
+        for msg in batch_messages(passed.changes(loads, now), Msg::LoadChanges) {
             beacon.send(&msg, near.values().copied());
         }
     }
@@ -134,7 +134,7 @@
     LoadChange {
         from: cx.cfg.node.vm.clone(),
         incarnation: cx.incarnation,
-        number: cx.notes.fetch_add(1, Relaxed),
+        sequence: cx.notes.fetch_add(1, Relaxed),
         loads: largest(own_loads(cx)),
     }
 }
@@ -197,7 +197,7 @@
         pause = DOMAIN_LOAD_INTERVAL;
         let loads = told.next(cx.loads.domain(&own_loads(&cx)));
         let note = load_note(&cx, loads);
-        let to = relays(&cx.peers.borrow().far_gateways, note.number);
+        let to = relays(&cx.peers.borrow().far_gateways, note.sequence);
         beacon.send(&Msg::DomainLoad(note), to);
     }
 }
@@ -260,18 +260,18 @@
     loads.filter(|l| l.requests > 0 || l.failed > 0).collect()
 }
 
-fn load_note(cx: &Cx, loads: Vec<Load>) -> LoadNote {
-    LoadNote {
+fn load_note(cx: &Cx, loads: Vec<Load>) -> LoadUpdate {
+    LoadUpdate {
         from: cx.cfg.node.vm.clone(),
         domain: cx.cfg.node.domain.clone(),
         incarnation: cx.incarnation,
-        number: cx.notes.fetch_add(1, Relaxed),
+        sequence: cx.notes.fetch_add(1, Relaxed),
         reaches_store: *cx.reaches_store.borrow(),
         configuration: cx.mirror.revision(cx.configuration.name),
         members: cx.mirror.revision(cx.members.name),
         upstreams: cx.mirror.revision(cx.upstreams.name),
         upstreams_age: cx.mirror.age(cx.upstreams.name).unwrap_or_default(),
-        copies_at: cx.cfg.copies,
+        replica_addr: cx.cfg.copies,
         loads,
     }
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use base::{DomainName, Fingerprint, LifeId, Model, Revision};
-use beacon::{EngineNote, Holding, Load};
-use catalog::{Born, ServiceName, WeightsVersion};
+use beacon::{EngineStatus, Holding, Load};
+use catalog::{ServiceName, StartTime, WeightsVersion};
 
 use decide::outcomes::{Counts, Outcomes};
 use tokio::sync::Notify;
@@ -51,7 +51,7 @@
     /// Revision of its entry; grows with each of its heartbeats.
     pub revision: Revision,
     /// Start of its life, where it tells it: it may start again under its id.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
 }
 
 impl Listed {
@@ -67,11 +67,11 @@
 }
 
 /// Whether a life ended before another began; `false` where either isn't known.
-pub fn is_former(born: Option<Born>, later: Option<Born>) -> bool {
+pub fn is_former(born: Option<StartTime>, later: Option<StartTime>) -> bool {
     matches!((born, later), (Some(born), Some(later)) if born < later)
 }
 
-fn life(instance: &str, born: Option<Born>) -> LifeId {
+fn life(instance: &str, born: Option<StartTime>) -> LifeId {
     let born = born.map_or(0, |born| born.wrapping_add(1));
     Fingerprint::of(&[instance.as_bytes(), &born.to_le_bytes()]).short()
 }
@@ -94,7 +94,7 @@
 #[derive(Debug)]
 struct State {
     listed: Listed,
-    note: Option<(EngineNote, Instant)>,
+    note: Option<(EngineStatus, Instant)>,
     requests: u32,
     unread: u64,
     failures: u32,
@@ -141,7 +141,7 @@
     }
 
     /// The loader's note and when it came, while it goes before what the platform lists.
-    fn fresh_note(&self, now: Instant) -> Option<&(EngineNote, Instant)> {
+    fn fresh_note(&self, now: Instant) -> Option<&(EngineStatus, Instant)> {
         let fresh = |at: &Instant| now.saturating_duration_since(*at) < NOTE_TIME;
         self.note.as_ref().filter(|(_, at)| fresh(at))
     }
@@ -184,7 +184,7 @@
     /// Failure domain.
     pub domain: DomainName,
     /// Start of its life, where it is known.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The same number for this life at all gateways.
     pub life: LifeId,
     state: Mutex<State>,
@@ -236,20 +236,20 @@
     pub fn next_life(&self, listed: Listed) -> Upstream {
         let next = Upstream::new(listed);
         let note = self.state().note.take();
-        next.state().note = note.filter(|(note, _)| note.born == next.born);
+        next.state().note = note.filter(|(note, _)| note.start_time == next.born);
         next
     }
 
     /// Takes a loader's note, unless a newer one is known or it is of a former life; `true` where it changes
     /// what the upstream can serve.
-    pub fn note(&self, note: EngineNote, now: Instant) -> bool {
-        if is_former(note.born, self.born) {
+    pub fn note(&self, note: EngineStatus, now: Instant) -> bool {
+        if is_former(note.start_time, self.born) {
             return false;
         }
         let mut state = self.state();
         // Incarnations come from the time of day, which may have been set back on the loader's VM.
         let newer = state.note.as_ref().is_none_or(|(known, at)| {
-            let later = (note.incarnation, note.number) > (known.incarnation, known.number);
+            let later = (note.incarnation, note.sequence) > (known.incarnation, known.sequence);
             later || now.saturating_duration_since(*at) >= NOTE_TIME
         });
         if !newer {
--- a/crates/gateway/tests/feedback.rs
+++ b/crates/gateway/tests/feedback.rs
@@ -32,7 +32,7 @@
 
 fn update(upstream: &Upstream, per_1000_s: Option<u64>, ago: Duration) -> RateLimitUpdate {
     RateLimitUpdate {
-        life: upstream.life,
+        incarnation: upstream.life,
         per_1000_s,
         ago,
     }
--- a/crates/gateway/tests/loads.rs
+++ b/crates/gateway/tests/loads.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use base::Map;
-use beacon::{Load, LoadChange, LoadNote, MAX_DATAGRAM, Msg, packed};
+use beacon::{Load, LoadChange, LoadUpdate, MAX_DATAGRAM, Msg, batch_messages};
 use decide::outcomes::Outcomes;
 use gateway::loads::{LoadBook, largest, relays};
 use gateway::tell::{Passed, Told};
@@ -24,18 +24,18 @@
     }
 }
 
-fn note(from: &str, domain: &str, number: u64, loads: Vec<Load>) -> LoadNote {
-    LoadNote {
+fn note(from: &str, domain: &str, sequence: u64, loads: Vec<Load>) -> LoadUpdate {
+    LoadUpdate {
         from: from.to_owned(),
         domain: domain.to_owned(),
         incarnation: 5,
-        number,
+        sequence,
         reaches_store: true,
         members: 0,
         configuration: 1,
         upstreams: 1,
         upstreams_age: Duration::ZERO,
-        copies_at: upstream(0),
+        replica_addr: upstream(0),
         loads,
     }
 }
@@ -178,10 +178,10 @@
 }
 
 /// A note of a gateway that passes copies on at an address of its own.
-fn reader(from: &str, domain: &str, reaches_store: bool, n: u16) -> LoadNote {
-    LoadNote {
+fn reader(from: &str, domain: &str, reaches_store: bool, n: u16) -> LoadUpdate {
+    LoadUpdate {
         reaches_store,
-        copies_at: upstream(n),
+        replica_addr: upstream(n),
         ..note(from, domain, 1, Vec::new())
     }
 }
@@ -242,11 +242,11 @@
     assert_eq!(book.store_rank(&"a".to_owned(), true, now), 0);
 }
 
-fn change(from: &str, number: u64, loads: Vec<Load>) -> LoadChange {
+fn change(from: &str, sequence: u64, loads: Vec<Load>) -> LoadChange {
     LoadChange {
         from: from.to_owned(),
         incarnation: 5,
-        number,
+        sequence,
         loads,
     }
 }
@@ -371,7 +371,7 @@
     };
     let changes: Vec<LoadChange> = (0..41).map(of).collect();
 
-    let msgs = packed(changes.clone(), Msg::LoadChanges);
+    let msgs = batch_messages(changes.clone(), Msg::LoadChanges);
 
     let sizes = msgs
         .iter()
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use beacon::{EngineNote, Holding};
+use beacon::{EngineStatus, Holding};
 use gateway::membership::Roster;
 use gateway::upstream::{Health, Listed, Slot, Told};
 
@@ -43,10 +43,10 @@
     }
 }
 
-fn note(n: u16, number: u64, switching: bool) -> EngineNote {
-    EngineNote {
+fn note(n: u16, sequence: u64, switching: bool) -> EngineStatus {
+    EngineStatus {
         incarnation: 7,
-        number,
+        sequence,
         upstream: ([127, 0, 0, 1], 9000 + n).into(),
         switching,
         leaves_in: None,
@@ -54,7 +54,7 @@
         running: 0,
         queued: 0,
         releases: Vec::new(),
-        born: None,
+        start_time: None,
     }
 }
 
@@ -184,7 +184,7 @@
     let roster = roster();
     let now = Instant::now();
     list(&roster, vec![listed(1)], now);
-    let before = EngineNote {
+    let before = EngineStatus {
         incarnation: 9,
         ..note(1, 1, false)
     };
@@ -202,7 +202,7 @@
     let roster = roster();
     let now = Instant::now();
     list(&roster, vec![listed(1)], now);
-    let planned = EngineNote {
+    let planned = EngineStatus {
         leaves_in: Some(Duration::from_secs(2)),
         ..note(1, 1, false)
     };
@@ -258,9 +258,9 @@
     );
 }
 
-fn note_of(born: u64, number: u64) -> EngineNote {
-    EngineNote {
-        born: Some(born),
+fn note_of(born: u64, number: u64) -> EngineStatus {
+    EngineStatus {
+        start_time: Some(born),
         ..note(1, number, false)
     }
 }
--- a/crates/loader/src/api.rs
+++ b/crates/loader/src/api.rs
@@ -9,7 +9,7 @@
 use base::Model;
 use beacon::Holding;
 use bytes::Bytes;
-use catalog::{Born, WeightsVersion};
+use catalog::{StartTime, WeightsVersion};
 
 /// SHA-256 of a chunk.
 pub type ChunkDigest = [u8; 32];
@@ -44,15 +44,16 @@
     /// Requests it has queued.
     pub queued: u32,
     /// Start of its life, where it tells it.
-    pub born: Option<Born>,
+    pub start_time: Option<StartTime>,
 }
 
 impl EngineState {
     /// Whether an engine of another life answered than the one `before`: it was born at another time, or has
     /// taken fewer orders.
-    pub fn is_new_life(&self, before: &EngineState) -> bool {
-        let born = matches!((self.born, before.born), (Some(now), Some(then)) if now != then);
-        born || self.orders < before.orders
+    pub fn is_new_incarnation(&self, before: &EngineState) -> bool {
+        let restarted =
+            matches!((self.start_time, before.start_time), (Some(now), Some(then)) if now != then);
+        restarted || self.orders < before.orders
     }
 }
 
@@ -65,7 +66,7 @@
 
 /// A chunk laid out at the engine.
 #[derive(Debug, Clone)]
-pub struct Staged {
+pub struct StagedChunk {
     /// Model.
     pub model: Model,
     /// Index of the chunk.
@@ -76,7 +77,7 @@
 
 /// An order to put what lies staged into use.
 #[derive(Debug, Clone)]
-pub struct Start {
+pub struct SwitchOrder {
     /// Model.
     pub model: Model,
     /// Version of what lies staged.
@@ -87,7 +88,7 @@
 
 /// What became of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Started {
+pub enum OrderResult {
     /// It has begun, or what was asked for is in use already.
     Taken,
     /// It doesn't fit the engine's state; read the state again.
@@ -111,11 +112,11 @@
     /// State of the engine, as of now.
     pub state: Call<(), EngineState>,
     /// Lays a chunk out at the engine.
-    pub put: Call<Staged, ()>,
+    pub put: Call<StagedChunk, ()>,
     /// Reads a chunk back; `None` where none lies there.
     pub get: Call<(Model, usize), Option<Bytes>>,
     /// Orders the engine to take what lies there.
-    pub start: Call<Start, Started>,
+    pub start: Call<SwitchOrder, OrderResult>,
     /// Manifest of a version.
     pub manifest: Call<OriginVersion, Manifest>,
     /// A chunk of a version.
--- a/crates/loader/src/fetch.rs
+++ b/crates/loader/src/fetch.rs
@@ -163,7 +163,7 @@
     let service = catalog.as_ref().and_then(|c| c.service(&cx.service));
     let engine = service.and_then(|s| s.engine.as_ref());
     match (origin, engine) {
-        (Some(origin), Some(engine)) => origin.carry_time(engine.chunk_bytes),
+        (Some(origin), Some(engine)) => origin.transfer_time(engine.chunk_bytes),
         _ => Duration::ZERO,
     }
 }
@@ -211,7 +211,7 @@
                 leaving: !present.is_present(m, settled),
                 vm: m.vm.clone(),
                 domain: m.domain.clone(),
-                addr: m.passes_on,
+                addr: m.peer_addr,
             })
             .collect();
         self.swarm.set_peers(&self.cx.cfg.node.vm, peers);
--- a/crates/loader/src/lib.rs
+++ b/crates/loader/src/lib.rs
@@ -44,17 +44,17 @@
 
 /// Newest releases, and since when this process knows them.
 #[derive(Debug, Clone, Default)]
-pub struct Known {
+pub struct KnownReleases {
     /// Releases.
     pub list: ReleaseList,
     /// When each version became known.
     pub since: Map<(Model, WeightsVersion), Instant>,
 }
 
-impl Known {
+impl KnownReleases {
     /// Takes a list; `true` where it names a higher version of any model. Nothing takes a version back, see
     /// [`ReleaseList::merge`].
-    pub fn take(&mut self, list: &ReleaseList, now: Instant) -> bool {
+    pub fn merge(&mut self, list: &ReleaseList, now: Instant) -> bool {
         let raised = self.list.merge(list);
         for release in &self.list.releases {
             let key = (release.model.clone(), release.version);
@@ -80,7 +80,7 @@
     /// Configuration; `None` until one is known.
     pub catalog: watch::Receiver<Option<Arc<Catalog>>>,
     /// Releases, which gateways and the platform's store tell.
-    pub known: Arc<watch::Sender<Known>>,
+    pub known: Arc<watch::Sender<KnownReleases>>,
     /// Other processes.
     pub members: watch::Receiver<Vec<Member>>,
     /// Turns true when a planned stop begins.
@@ -93,7 +93,7 @@
     pub(crate) service: ServiceName,
     pub(crate) api: Api,
     pub(crate) catalog: watch::Receiver<Option<Arc<Catalog>>>,
-    pub(crate) known: Arc<watch::Sender<Known>>,
+    pub(crate) known: Arc<watch::Sender<KnownReleases>>,
     pub(crate) members: watch::Receiver<Vec<Member>>,
     pub(crate) stop: watch::Receiver<bool>,
     pub(crate) incarnation: Incarnation,
--- a/crates/loader/src/manifest.rs
+++ b/crates/loader/src/manifest.rs
@@ -96,7 +96,7 @@
         true => before
             .iter()
             .take(MANIFEST_HOLDERS)
-            .map(|m| m.passes_on)
+            .map(|m| m.peer_addr)
             .collect(),
         false => heard.into_keys().collect(),
     }
--- a/crates/loader/src/peers.rs
+++ b/crates/loader/src/peers.rs
@@ -115,8 +115,8 @@
 const SOME: usize = 2;
 
 /// Tells other loaders which chunks of a version are held here.
-pub(crate) fn announce(cx: &Cx, set: &Set, asks: bool, reach: Reach) {
-    let msg = chunk_map(cx, set, asks);
+pub(crate) fn announce(cx: &Cx, set: &Set, wants_reply: bool, reach: Reach) {
+    let msg = chunk_map(cx, set, wants_reply);
     let own = &cx.cfg.node.domain;
     let (near, far): (Vec<Member>, Vec<Member>) =
         loaders(cx).into_iter().partition(|m| m.domain == *own);
@@ -148,7 +148,7 @@
 /// Tells some loaders, by where they serve, which chunks of a version are held here.
 pub(crate) fn announce_to(cx: &Cx, set: &Set, serving: &[SocketAddr]) {
     let members = loaders(cx);
-    let told = members.iter().filter(|m| serving.contains(&m.passes_on));
+    let told = members.iter().filter(|m| serving.contains(&m.peer_addr));
     cx.beacon
         .send(&chunk_map(cx, set, false), told.map(|m| m.beacon));
 }
@@ -160,13 +160,13 @@
     }
 }
 
-fn chunk_map(cx: &Cx, set: &Set, asks: bool) -> Msg {
+fn chunk_map(cx: &Cx, set: &Set, wants_reply: bool) -> Msg {
     Msg::Chunks(ChunkMap {
         from: cx.cfg.chunks,
         model: set.model.clone(),
         version: set.version,
         bits: ChunkMap::pack(&set.have()),
-        asks,
+        wants_reply,
     })
 }
 
--- a/crates/loader/src/present.rs
+++ b/crates/loader/src/present.rs
@@ -33,7 +33,7 @@
         near: usize,
     ) -> Present<'a> {
         let is_heard = |m: &&Member| {
-            let heard = heard.get(&m.passes_on);
+            let heard = heard.get(&m.peer_addr);
             heard.is_some_and(|h| h.is_whole() || clock::since(h.at) < SILENT_FAR)
         };
         let domains = members.iter().filter(is_heard).map(|m| &m.domain);
@@ -47,7 +47,7 @@
 
     /// Whether a loader is counted on; those that have said nothing are until all have had time to.
     pub(crate) fn is_present(&self, m: &Member, settled: bool) -> bool {
-        match self.heard.get(&m.passes_on) {
+        match self.heard.get(&m.peer_addr) {
             _ if m.domain != *self.own && self.domains.contains(&m.domain) => true,
             Some(heard) => heard.is_whole() || clock::since(heard.at) < self.silent,
             None => !settled,
--- a/crates/loader/src/rollout.rs
+++ b/crates/loader/src/rollout.rs
@@ -12,7 +12,7 @@
 use web::{Client, Dial};
 
 use crate::Cx;
-use crate::api::{ApiError, EngineState, OriginVersion, Start, Started};
+use crate::api::{ApiError, EngineState, OrderResult, OriginVersion, SwitchOrder};
 use crate::fetch::fetch;
 use crate::manifest::manifest;
 use crate::peers::{BYTES_PER_MBIT, Reach, announce, loaders};
@@ -220,8 +220,8 @@
     /// its effect would leave it without weights for [`ORDER_TIME`].
     fn see(&mut self, state: &EngineState) {
         let before = self.seen.replace(state.clone());
-        if before.is_some_and(|before| state.is_new_life(&before)) {
-            info!(target: PART, "{PART}: event=started_again born={:?} orders={} holdings={:?}", state.born, state.orders, state.holdings);
+        if before.is_some_and(|before| state.is_new_incarnation(&before)) {
+            info!(target: PART, "{PART}: event=started_again born={:?} orders={} holdings={:?}", state.start_time, state.orders, state.holdings);
             self.ordered = None;
             self.cx.leaving.store(false, Ordering::Relaxed);
         }
@@ -292,8 +292,8 @@
             at: clock::now(),
         });
         match self.give(set, serves).await {
-            Ok(Started::Taken) => return,
-            Ok(Started::Conflict(status)) => {
+            Ok(OrderResult::Taken) => return,
+            Ok(OrderResult::Conflict(status)) => {
                 warn!(target: PART, "{PART}: event=order_conflict version={version} status={status}");
             }
             Err(e) => {
@@ -305,7 +305,7 @@
         self.cx.look.notify_one();
     }
 
-    async fn give(&self, set: &Set, serves: bool) -> Result<Started, ApiError> {
+    async fn give(&self, set: &Set, serves: bool) -> Result<OrderResult, ApiError> {
         self.cx.leaving.store(true, Ordering::Relaxed);
         self.cx.look.notify_one();
         let notice = match serves {
@@ -316,7 +316,7 @@
         laid_out?;
         read_again(&self.cx, set).await?;
         let state = (self.cx.api.state)(()).await?;
-        let start = Start {
+        let start = SwitchOrder {
             model: set.model.clone(),
             version: set.version,
             orders: state.orders,
--- a/crates/loader/src/run.rs
+++ b/crates/loader/src/run.rs
@@ -66,9 +66,9 @@
 /// Takes what other processes tell.
 async fn listen(cx: Arc<Cx>) {
     loop {
-        match cx.beacon.next().await {
+        match cx.beacon.recv().await {
             (Msg::Chunks(map), from) => {
-                if map.asks {
+                if map.wants_reply {
                     answer(&cx, &map, from);
                 }
                 let mut peers = cx.peers.lock().unwrap_or_else(|e| e.into_inner());
@@ -77,7 +77,7 @@
             }
             (Msg::Releases(list), from) => {
                 let revision = list.revision;
-                let newer = cx.known.send_if_modified(|k| k.take(&list, clock::now()));
+                let newer = cx.known.send_if_modified(|k| k.merge(&list, clock::now()));
                 if newer {
                     info!(target: PART, "{PART}: event=releases revision={revision} from={from}");
                 }
--- a/crates/loader/src/stage.rs
+++ b/crates/loader/src/stage.rs
@@ -3,7 +3,7 @@
 use log::info;
 
 use crate::Cx;
-use crate::api::{ApiError, Staged};
+use crate::api::{ApiError, StagedChunk};
 use crate::sets::Set;
 
 /// Log prefix of this part.
@@ -61,7 +61,7 @@
 
 async fn put(cx: &Cx, set: &Set, i: usize) -> Result<(), ApiError> {
     let missing = || ApiError(format!("chunk {i} is missing"));
-    let staged = Staged {
+    let staged = StagedChunk {
         model: set.model.clone(),
         chunk: i,
         buf: set.get(i).ok_or_else(missing)?,
--- a/crates/loader/src/tell.rs
+++ b/crates/loader/src/tell.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 
-use beacon::{EngineNote, Member, Msg, Role};
+use beacon::{EngineStatus, Member, Msg, Role};
 use log::{info, warn};
 use rand::seq::IndexedRandom;
 use tokio::sync::watch;
@@ -38,7 +38,7 @@
 
 /// Reads the state again and again; what was read last is in `tx`.
 pub(crate) async fn tell(cx: Arc<Cx>, tx: watch::Sender<Option<EngineState>>) {
-    let mut number = 0;
+    let mut sequence = 0;
     let mut told = clock::now();
     let mut told_far = clock::now();
     let mut told_plan = None;
@@ -67,12 +67,12 @@
                 let near = news || clock::since(told) >= repeat;
                 let far = news || clock::since(told_far) >= repeat_far;
                 if near || far {
-                    number += 1;
+                    sequence += 1;
                     let receivers = match clock::since(news_at) < NEWS_TIME {
                         true => gateways(&cx, near, far),
                         false => any_gateway(&cx),
                     };
-                    send(&cx, number, &state, receivers);
+                    send(&cx, sequence, &state, receivers);
                 }
                 if near {
                     told = clock::now();
@@ -136,17 +136,17 @@
 }
 
 /// Sends a note.
-fn send(cx: &Cx, number: u64, state: &EngineState, receivers: Vec<SocketAddr>) {
-    let note = EngineNote {
+fn send(cx: &Cx, sequence: u64, state: &EngineState, receivers: Vec<SocketAddr>) {
+    let note = EngineStatus {
         incarnation: cx.incarnation,
-        number,
+        sequence,
         upstream: cx.cfg.engine,
         switching: state.switching,
         leaves_in: leaves_at(cx).map(|at| at.saturating_duration_since(clock::now())),
         holdings: state.holdings.clone(),
         running: state.running,
         queued: state.queued,
-        born: state.born,
+        start_time: state.start_time,
         releases: cx.known.borrow().list.releases.clone(),
     };
     cx.beacon.send(&Msg::Engine(note), receivers);
--- a/crates/loader/tests/turns.rs
+++ b/crates/loader/tests/turns.rs
@@ -161,14 +161,14 @@
     assert_eq!(held, [2, 3, 4]);
 }
 
-fn state(born: Option<u64>, orders: u64) -> EngineState {
+fn state(start_time: Option<u64>, orders: u64) -> EngineState {
     EngineState {
         switching: false,
         orders,
         holdings: Vec::new(),
         running: 0,
         queued: 0,
-        born,
+        start_time,
     }
 }
 
@@ -176,12 +176,18 @@
 fn an_engine_that_started_again_is_told_by_its_birth_or_by_fewer_orders() {
     let before = state(Some(100), 3);
 
-    assert!(state(Some(200), 0).is_new_life(&before));
-    assert!(state(Some(200), 3).is_new_life(&before), "as many orders");
-    assert!(state(None, 0).is_new_life(&state(None, 3)), "no birth told");
-    assert!(!state(Some(100), 4).is_new_life(&before));
+    assert!(state(Some(200), 0).is_new_incarnation(&before));
     assert!(
-        !state(None, 3).is_new_life(&before),
+        state(Some(200), 3).is_new_incarnation(&before),
+        "as many orders"
+    );
+    assert!(
+        state(None, 0).is_new_incarnation(&state(None, 3)),
+        "no birth told"
+    );
+    assert!(!state(Some(100), 4).is_new_incarnation(&before));
+    assert!(
+        !state(None, 3).is_new_incarnation(&before),
         "a birth that isn't told"
     );
 }
--- a/crates/mirror/src/ask.rs
+++ b/crates/mirror/src/fetch.rs
@@ -17,38 +17,38 @@
 
 /// Why no copy came.
 #[derive(Debug)]
-pub struct AskError(String);
+pub struct FetchError(String);
 
-impl fmt::Display for AskError {
+impl fmt::Display for FetchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "no copy came: {}; another process is asked next", self.0)
     }
 }
 
-impl std::error::Error for AskError {}
+impl std::error::Error for FetchError {}
 
 /// Asks a process for its copy and takes it; `true` where it was newer than the one held. An answer that
 /// keeps coming is read on, however long it is; one that pauses for `within` is given up.
-pub async fn ask(
+pub async fn fetch(
     mirror: &Mirror,
     name: DocName,
     client: &Client,
     from: SocketAddr,
     within: Duration,
-) -> Result<bool, AskError> {
+) -> Result<bool, FetchError> {
     take(mirror, name, client, from, within, String::new()).await
 }
 
 /// The same for a copy that the store confirmed at most `oldest` ago: the process asked has it confirmed
 /// where its own is older, and answers with what it has where that fails.
-pub async fn ask_confirmed(
+pub async fn fetch_confirmed(
     mirror: &Mirror,
     name: DocName,
     client: &Client,
     from: SocketAddr,
     within: Duration,
     oldest: Duration,
-) -> Result<bool, AskError> {
+) -> Result<bool, FetchError> {
     let bound = format!("&{}", oldest.as_millis());
     take(mirror, name, client, from, within, bound).await
 }
@@ -61,7 +61,7 @@
     from: SocketAddr,
     within: Duration,
     bound: String,
-) -> Result<bool, AskError> {
+) -> Result<bool, FetchError> {
     let held = mirror.revision(name);
     let changed = passed(name, client, from, within, format!("{held}{bound}")).await?;
     match taken(mirror, name, changed) {
@@ -82,25 +82,25 @@
     from: SocketAddr,
     within: Duration,
     query: String,
-) -> Result<(Passed, Instant), AskError> {
+) -> Result<(Passed, Instant), FetchError> {
     let sent = clock::now();
     let req = hyper::Request::get(format!("{PATH}{name}?{query}"))
         .body(empty())
-        .map_err(|e| AskError(e.to_string()))?;
+        .map_err(|e| FetchError(e.to_string()))?;
     let res = client
         .send(from, req, within)
         .await
-        .map_err(|e| AskError(e.to_string()))?;
+        .map_err(|e| FetchError(e.to_string()))?;
     if !res.status().is_success() {
-        return Err(AskError(format!("{from} answered {}", res.status())));
+        return Err(FetchError(format!("{from} answered {}", res.status())));
     }
     let buf = read_steadily(res.into_body(), MAX_COPY, within)
         .await
-        .map_err(|e| AskError(e.to_string()))?;
-    let passed: Passed = postcard::from_bytes(&buf).map_err(|e| AskError(e.to_string()))?;
+        .map_err(|e| FetchError(e.to_string()))?;
+    let passed: Passed = postcard::from_bytes(&buf).map_err(|e| FetchError(e.to_string()))?;
     let confirmed = sent
         .checked_sub(passed.age)
-        .ok_or_else(|| AskError(format!("its age can't be: {:?}", passed.age)))?;
+        .ok_or_else(|| FetchError(format!("its age can't be: {:?}", passed.age)))?;
     Ok((passed, confirmed))
 }
 
@@ -109,11 +109,11 @@
     mirror: &Mirror,
     name: DocName,
     (passed, confirmed): (Passed, Instant),
-) -> Result<bool, AskError> {
+) -> Result<bool, FetchError> {
     match passed.body {
         Some(body) => {
             let body = unpacked(mirror, name, &body)?;
-            Ok(mirror.take(name, passed.revision, body, confirmed))
+            Ok(mirror.update(name, passed.revision, body, confirmed))
         }
         // The same revision: its age is news.
         None => {
@@ -123,13 +123,13 @@
     }
 }
 
-fn unpacked(mirror: &Mirror, name: DocName, body: &PassedBody) -> Result<Bytes, AskError> {
+fn unpacked(mirror: &Mirror, name: DocName, body: &PassedBody) -> Result<Bytes, FetchError> {
     let against = match body.against {
         0 => Bytes::new(),
         revision => mirror
             .body_of(name, revision)
-            .map_err(|e| AskError(e.to_string()))?
-            .ok_or_else(|| AskError(format!("it was packed against revision {revision}")))?,
+            .map_err(|e| FetchError(e.to_string()))?
+            .ok_or_else(|| FetchError(format!("it was packed against revision {revision}")))?,
     };
-    unpack(&body.bytes, &against, body.length.min(MAX_COPY)).map_err(|e| AskError(e.to_string()))
+    unpack(&body.bytes, &against, body.length.min(MAX_COPY)).map_err(|e| FetchError(e.to_string()))
 }
--- a/crates/mirror/src/copy.rs
+++ b/crates/mirror/src/replica.rs
@@ -16,7 +16,7 @@
 
 /// A copy of a document.
 #[derive(Debug, Clone)]
-pub struct Copy {
+pub struct Replica {
     /// Revision.
     pub revision: Revision,
     /// Body.
@@ -31,7 +31,7 @@
 /// The copy of a document, and what is kept to pass it on.
 #[derive(Debug)]
 struct Held {
-    copy: Copy,
+    copy: Replica,
     earlier: Earlier,
     /// The body packed against the revision that an asker holds; 0 for none.
     packed: Map<Revision, Bytes>,
@@ -40,7 +40,7 @@
 /// A copy packed against an earlier revision.
 #[derive(Debug)]
 pub(crate) struct Packed {
-    pub(crate) copy: Copy,
+    pub(crate) copy: Replica,
     /// Revision that it is packed against; 0 for none.
     pub(crate) against: Revision,
     pub(crate) body: Bytes,
@@ -59,7 +59,13 @@
 impl Mirror {
     /// Takes a copy that the store had confirmed at a moment; `true` where it is newer than the one held. A
     /// moment, since an age grows while a process stands still on its way here.
-    pub fn take(&self, name: DocName, revision: Revision, body: Bytes, confirmed: Instant) -> bool {
+    pub fn update(
+        &self,
+        name: DocName,
+        revision: Revision,
+        body: Bytes,
+        confirmed: Instant,
+    ) -> bool {
         let mut documents = self.lock();
         let gap = match documents.get_mut(name) {
             Some(held) if held.copy.revision > revision => return false,
@@ -71,7 +77,7 @@
             Some(held) => confirmed.saturating_duration_since(held.copy.confirmed),
             None => Duration::ZERO,
         };
-        let copy = Copy {
+        let copy = Replica {
             revision,
             body,
             confirmed,
@@ -101,7 +107,7 @@
     }
 
     /// The copy held.
-    pub fn get(&self, name: DocName) -> Option<Copy> {
+    pub fn get(&self, name: DocName) -> Option<Replica> {
         self.lock().get(name).map(|held| held.copy.clone())
     }
 
@@ -222,7 +228,7 @@
     }
 
     /// The copy held and the earlier bodies, which share their bytes with it.
-    fn all_of(&self, name: DocName) -> Option<(Copy, Earlier)> {
+    fn all_of(&self, name: DocName) -> Option<(Replica, Earlier)> {
         let documents = self.lock();
         let held = documents.get(name)?;
         Some((held.copy.clone(), held.earlier.clone()))
@@ -237,7 +243,7 @@
 
 impl Held {
     /// A newer copy in place of what was held before.
-    fn after(before: Option<Held>, copy: Copy) -> Held {
+    fn after(before: Option<Held>, copy: Replica) -> Held {
         let mut earlier = Earlier::default();
         if let Some(before) = before {
             earlier = before.earlier;
--- a/crates/mirror/src/serve.rs
+++ b/crates/mirror/src/serve.rs
@@ -8,7 +8,7 @@
 use web::{Request, Response, full, text};
 
 use crate::pack::PackError;
-use crate::{Copy, DocName, Mirror};
+use crate::{DocName, Mirror, Replica};
 
 /// Path of a document is this and its name.
 pub const PATH: &str = "/mirror/";
@@ -34,7 +34,7 @@
 
 /// Largest age that an asker wants the store to have confirmed a copy at, in `GET
 /// /mirror/NAME?REVISION&MILLISECONDS`; `None` where it takes any.
-pub fn oldest_wanted(req: &Request) -> Option<Duration> {
+pub fn requested_max_age(req: &Request) -> Option<Duration> {
     let (_, oldest) = req.uri().query()?.split_once('&')?;
     oldest.parse().ok().map(Duration::from_millis)
 }
@@ -79,7 +79,7 @@
     }))
 }
 
-fn passed(copy: &Copy, body: Option<PassedBody>) -> Passed {
+fn passed(copy: &Replica, body: Option<PassedBody>) -> Passed {
     Passed {
         revision: copy.revision,
         age: clock::since(copy.confirmed),
--- a/crates/mirror/tests/pass.rs
+++ b/crates/mirror/tests/fetch.rs
@@ -62,7 +62,7 @@
 /// Asks for the copy of a process at an address.
 async fn ask_at(own: Mirror, addr: SocketAddr) -> bool {
     let client = Client::new(Dial::within(PATIENCE));
-    let asked = mirror::ask(&own, NAME, &client, addr, PATIENCE).await;
+    let asked = mirror::fetch(&own, NAME, &client, addr, PATIENCE).await;
     asked.expect("a copy")
 }
 
@@ -87,11 +87,12 @@
 #[tokio::test]
 async fn only_what_changed_travels_to_a_process_that_holds_an_earlier_revision() {
     let (peer, own) = (peer().await, Mirror::default());
-    peer.mirror.take(NAME, 1, document("one"), Instant::now());
+    peer.mirror.update(NAME, 1, document("one"), Instant::now());
     let whole = ask(&own, &peer).await;
 
-    peer.mirror.take(NAME, 2, document("two"), Instant::now());
-    peer.mirror.take(NAME, 3, document("three"), Instant::now());
+    peer.mirror.update(NAME, 2, document("two"), Instant::now());
+    peer.mirror
+        .update(NAME, 3, document("three"), Instant::now());
     let changed = ask(&own, &peer).await;
     let nothing = ask(&own, &peer).await;
 
@@ -104,10 +105,10 @@
 #[tokio::test]
 async fn a_process_whose_revision_is_not_known_any_more_gets_the_whole() {
     let (peer, own) = (peer().await, Mirror::default());
-    own.take(NAME, 1, document("one"), Instant::now());
+    own.update(NAME, 1, document("one"), Instant::now());
     for revision in 2..10 {
         let body = numbered(revision);
-        peer.mirror.take(NAME, revision, body, Instant::now());
+        peer.mirror.update(NAME, revision, body, Instant::now());
     }
 
     ask(&own, &peer).await;
@@ -118,8 +119,8 @@
 #[tokio::test]
 async fn an_older_revision_is_not_taken() {
     let (peer, own) = (peer().await, Mirror::default());
-    peer.mirror.take(NAME, 1, document("one"), Instant::now());
-    own.take(NAME, 2, document("two"), Instant::now());
+    peer.mirror.update(NAME, 1, document("one"), Instant::now());
+    own.update(NAME, 2, document("two"), Instant::now());
 
     ask(&own, &peer).await;
 
@@ -132,11 +133,11 @@
 #[tokio::test]
 async fn only_what_changed_travels_to_a_process_that_slept_through_a_burst_of_changes() {
     let (peer, own, follower) = (peer().await, Mirror::default(), Mirror::default());
-    peer.mirror.take(NAME, 1, numbered(1), Instant::now());
+    peer.mirror.update(NAME, 1, numbered(1), Instant::now());
     let whole = ask(&own, &peer).await;
     for revision in 2..=BURST {
         let body = numbered(revision);
-        peer.mirror.take(NAME, revision, body, Instant::now());
+        peer.mirror.update(NAME, revision, body, Instant::now());
         ask(&follower, &peer).await;
     }
 
@@ -149,11 +150,11 @@
 #[tokio::test]
 async fn a_process_further_behind_than_bodies_are_kept_gets_the_whole() {
     let (peer, own) = (peer().await, Mirror::default());
-    peer.mirror.take(NAME, 1, numbered(1), Instant::now());
+    peer.mirror.update(NAME, 1, numbered(1), Instant::now());
     let whole = ask(&own, &peer).await;
     for revision in 2..=4 * BURST {
         let body = numbered(revision);
-        peer.mirror.take(NAME, revision, body, Instant::now());
+        peer.mirror.update(NAME, revision, body, Instant::now());
     }
 
     let again = ask(&own, &peer).await;
@@ -168,12 +169,12 @@
     let behind: Vec<Mirror> = (0..12).map(|_| Mirror::default()).collect();
     for revision in 1..=6 {
         let body = numbered(revision);
-        peer.mirror.take(NAME, revision, body, Instant::now());
+        peer.mirror.update(NAME, revision, body, Instant::now());
         for own in behind.iter().skip(2 * revision as usize - 2) {
-            own.take(NAME, revision, numbered(revision), Instant::now());
+            own.update(NAME, revision, numbered(revision), Instant::now());
         }
     }
-    peer.mirror.take(NAME, 7, numbered(7), Instant::now());
+    peer.mirror.update(NAME, 7, numbered(7), Instant::now());
 
     let asking = behind.iter().map(|own| ask_at(own.clone(), peer.addr));
     let asking: Vec<_> = asking.map(tokio::spawn).collect();
@@ -190,9 +191,9 @@
 fn another_request_is_answered_while_a_copy_is_packed() {
     one_thread().block_on(async {
         let (peer, own, other) = (peer().await, Mirror::default(), Mirror::default());
-        peer.mirror.take(NAME, 2, document("two"), Instant::now());
-        own.take(NAME, 1, document("one"), Instant::now());
-        other.take(NAME, 2, document("two"), Instant::now());
+        peer.mirror.update(NAME, 2, document("two"), Instant::now());
+        own.update(NAME, 1, document("one"), Instant::now());
+        other.update(NAME, 2, document("two"), Instant::now());
         // Whatever leaves the thread of all tasks waits until it is let go on.
         let (go_on, held) = std::sync::mpsc::channel::<()>();
         let blocker = tokio::task::spawn_blocking(move || held.recv());
@@ -215,10 +216,10 @@
 #[tokio::test]
 async fn a_process_that_holds_another_body_under_the_same_revision_gets_the_whole() {
     let (peer, own) = (peer().await, Mirror::default());
-    peer.mirror.take(NAME, 1, numbered(1), Instant::now());
-    peer.mirror.take(NAME, 2, numbered(2), Instant::now());
+    peer.mirror.update(NAME, 1, numbered(1), Instant::now());
+    peer.mirror.update(NAME, 2, numbered(2), Instant::now());
     let unlike = numbered(1).iter().rev().copied().collect();
-    own.take(NAME, 1, unlike, Instant::now());
+    own.update(NAME, 1, unlike, Instant::now());
 
     ask(&own, &peer).await;
 
--- a/crates/mirror/tests/copy.rs
+++ b/crates/mirror/tests/replica.rs
@@ -27,10 +27,10 @@
 #[test]
 fn a_newer_copy_tells_how_long_the_store_had_confirmed_none() {
     let mirror = Mirror::default();
-    mirror.take(NAME, 1, body(), ago(SLACK * 10));
+    mirror.update(NAME, 1, body(), ago(SLACK * 10));
     let first = gap(&mirror);
 
-    mirror.take(NAME, 2, body(), Instant::now());
+    mirror.update(NAME, 2, body(), Instant::now());
 
     assert_eq!(first, Duration::ZERO);
     assert!(gap(&mirror) >= SLACK * 10);
@@ -39,11 +39,11 @@
 #[test]
 fn a_confirmation_of_the_copy_held_ends_the_gap() {
     let mirror = Mirror::default();
-    mirror.take(NAME, 1, body(), ago(SLACK * 10));
+    mirror.update(NAME, 1, body(), ago(SLACK * 10));
     mirror.confirm(NAME, 1, ago(SLACK));
     mirror.confirm(NAME, 7, Instant::now());
 
-    mirror.take(NAME, 2, body(), Instant::now());
+    mirror.update(NAME, 2, body(), Instant::now());
 
     let gap = gap(&mirror);
     assert!(gap >= SLACK && gap < SLACK * 2, "{gap:?}");
@@ -52,9 +52,9 @@
 #[test]
 fn an_older_copy_and_an_older_confirmation_change_nothing() {
     let mirror = Mirror::default();
-    mirror.take(NAME, 2, body(), Instant::now());
+    mirror.update(NAME, 2, body(), Instant::now());
 
-    let taken = mirror.take(NAME, 1, body(), Instant::now());
+    let taken = mirror.update(NAME, 1, body(), Instant::now());
     mirror.confirm(NAME, 2, ago(SLACK * 10));
 
     assert!(!taken);
