--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/news.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use base::{Fingerprint, Map};
-use beacon::{SuspectNote, TrialNote};
+use beacon::{SuspectUpdate, TrialUpdate};
 use decide::quarantine::{Quarantine, SuspectState, Trial, UpstreamExit};
 use tokio::sync::Notify;
 
@@ -65,9 +65,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Due {
     /// To gateways of the failure domain.
-    pub(crate) near: Vec<SuspectNote>,
+    pub(crate) near: Vec<SuspectUpdate>,
     /// To other failure domains.
-    pub(crate) far: Vec<SuspectNote>,
+    pub(crate) far: Vec<SuspectUpdate>,
 }
 
 /// News that is still to be told.
@@ -141,17 +141,17 @@
 }
 
 /// What others are told of a request.
-pub(crate) fn note(request: Fingerprint, case: &SuspectState, now: Instant) -> SuspectNote {
+pub(crate) fn note(request: Fingerprint, case: &SuspectState, now: Instant) -> SuspectUpdate {
     let ago = |at: Instant| now.saturating_duration_since(at);
-    SuspectNote {
+    SuspectUpdate {
         request,
-        ends: case
+        exits: case
             .exits
             .iter()
             .map(|e| (e.incarnation, ago(e.at)))
             .collect(),
         finished: case.completed.map(ago),
-        trial: case.trial.map(|t| TrialNote {
+        trial: case.trial.map(|t| TrialUpdate {
             number: t.number,
             upstream: t.upstream,
             ago: ago(t.started),
@@ -160,12 +160,12 @@
 }
 
 /// What they tell, as this gateway's clock has it.
-pub(crate) fn case(note: SuspectNote, now: Instant) -> SuspectState {
+pub(crate) fn case(note: SuspectUpdate, now: Instant) -> SuspectState {
     // What is older than this clock tells was as long ago as it can tell.
     let at = |ago: Duration| now.checked_sub(ago).unwrap_or(now);
     SuspectState {
         exits: note
-            .ends
+            .exits
             .into_iter()
             .map(|(incarnation, ago)| UpstreamExit {
                 incarnation,
