--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -151,7 +151,7 @@
     let Some(care) = care else {
         return pick(cx, job, service, tried, &[], waits);
     };
-    let trials = cx.suspects.trials(clock::now());
+    let trials = cx.suspects.active_trials(clock::now());
     match pick(cx, job, service, tried, &trials, waits) {
         Pick::Full if care == Care::Preferably => pick(cx, job, service, tried, &[], waits),
         picked => picked,
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/announcements.rs
@@ -21,7 +21,7 @@
 
 /// Whom news goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum Scope {
     /// Gateways of the own failure domain.
     Near,
     /// These, and one or two of each other domain, which pass it on.
@@ -31,7 +31,7 @@
 /// An announcement that is to be sent, and sent again in case that datagrams are lost.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Announcement {
-    pub(crate) reach: Reach,
+    pub(crate) scope: Scope,
     pub(crate) due: Instant,
     /// Index of the next pause in [`ROUNDS`].
     round: usize,
@@ -39,15 +39,15 @@
 
 impl Announcement {
     /// One that is sent in all rounds.
-    pub(crate) fn repeated(due: Instant, reach: Reach) -> Announcement {
+    pub(crate) fn repeated(due: Instant, scope: Scope) -> Announcement {
         let round = 0;
-        Announcement { reach, due, round }
+        Announcement { scope, due, round }
     }
 
     /// One that is sent once.
-    pub(crate) fn once(due: Instant, reach: Reach) -> Announcement {
+    pub(crate) fn once(due: Instant, scope: Scope) -> Announcement {
         let round = ROUNDS.len();
-        Announcement { reach, due, round }
+        Announcement { scope, due, round }
     }
 
     /// What follows after it was sent.
@@ -63,7 +63,7 @@
 
 /// What is to be told now.
 #[derive(Debug, Default)]
-pub(crate) struct Due {
+pub(crate) struct DueSuspects {
     /// To gateways of the failure domain.
     pub(crate) near: Vec<SuspectNote>,
     /// To other failure domains.
@@ -72,29 +72,29 @@
 
 /// News that is still to be told.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct PendingUpdates {
     untold: Mutex<Map<Fingerprint, Announcement>>,
-    arrived: Notify,
+    changed: Notify,
 }
 
-impl News {
+impl PendingUpdates {
     fn untold(&self) -> MutexGuard<'_, Map<Fingerprint, Announcement>> {
         self.untold.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Has news told, from the next moment on.
-    pub(crate) fn tell(&self, request: Fingerprint, reach: Reach) {
+    pub(crate) fn add(&self, request: Fingerprint, scope: Scope) {
         let mut untold = self.untold();
-        let before = untold.get(&request).map(|u| u.reach);
-        let reach = before.map_or(reach, |before| before.max(reach));
-        untold.insert(request, Announcement::repeated(clock::now(), reach));
+        let before = untold.get(&request).map(|u| u.scope);
+        let scope = before.map_or(scope, |before| before.max(scope));
+        untold.insert(request, Announcement::repeated(clock::now(), scope));
         drop(untold);
-        self.arrived.notify_one();
+        self.changed.notify_one();
     }
 
     /// Waits until there is something new to tell.
-    pub(crate) async fn arrived(&self) {
-        self.arrived.notified().await;
+    pub(crate) async fn changed(&self) {
+        self.changed.notified().await;
     }
 
     /// What is to be told now, the gravest first, at most so many cases to other failure domains; and when more
@@ -104,9 +104,9 @@
         quarantine: &Quarantine,
         now: Instant,
         most_far: usize,
-    ) -> (Due, Option<Instant>) {
+    ) -> (DueSuspects, Option<Instant>) {
         let mut untold = self.untold();
-        let mut due = Due::default();
+        let mut due = DueSuspects::default();
         let mut ready: Vec<Fingerprint> = untold
             .iter()
             .filter(|(_, u)| u.due <= now)
@@ -120,9 +120,9 @@
             else {
                 continue;
             };
-            let note = note(request, case, now);
+            let note = suspect_update(request, case, now);
             due.near.push(note.clone());
-            if news.reach == Reach::Everywhere {
+            if news.scope == Scope::Everywhere {
                 if due.far.len() == most_far {
                     news.due = now + FAR_INTERVAL;
                     untold.insert(request, news);
@@ -140,7 +140,7 @@
 }
 
 /// What others are told of a request.
-pub(crate) fn note(request: Fingerprint, case: &Case, now: Instant) -> SuspectNote {
+pub(crate) fn suspect_update(request: Fingerprint, case: &Case, now: Instant) -> SuspectNote {
     let ago = |at: Instant| now.saturating_duration_since(at);
     SuspectNote {
         request,
@@ -155,7 +155,7 @@
 }
 
 /// What they tell, as this gateway's clock has it.
-pub(crate) fn case(note: SuspectNote, now: Instant) -> Case {
+pub(crate) fn case_from_update(note: SuspectNote, now: Instant) -> Case {
     // What is older than this clock tells was as long ago as it can tell.
     let at = |ago: Duration| now.checked_sub(ago).unwrap_or(now);
     Case {
--- a/crates/gateway/src/ages.rs
+++ b/crates/gateway/src/attempt_ages.rs
@@ -8,13 +8,13 @@
 
 /// What callers of each route state.
 #[derive(Debug, Default)]
-pub struct Ages {
+pub struct AttemptAges {
     routes: Mutex<Map<String, Stated>>,
 }
 
-impl Ages {
+impl AttemptAges {
     /// Time since the caller of a request first asked; zero where that can't be told.
-    pub fn waited(&self, route: &str, patience: Option<Duration>, now: Instant) -> Duration {
+    pub fn attempt_age(&self, route: &str, patience: Option<Duration>, now: Instant) -> Duration {
         let Some(patience) = patience else {
             return Duration::ZERO;
         };
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -23,7 +23,7 @@
 
 use crate::Cx;
 use crate::call::Job;
-use crate::loads::Others;
+use crate::loads::PeerLoad;
 use crate::upstream::{Upstream, View};
 
 /// What became of a choice.
@@ -70,15 +70,15 @@
     let now = clock::now();
     let ask = ask(cx, job, service);
     let model = service.engine.as_ref().and(job.call.model.as_ref());
-    let oldest = model.map_or(0, |model| cx.releases.oldest(model, now));
+    let oldest = model.map_or(0, |model| cx.releases.oldest_allowed(model, now));
     let (near_gateways, all_gateways) = (cx.near_gateways(), cx.gateways());
     let entries = cx.roster.entries(&job.service);
     let drained = cx.drains.current();
-    let sums = cx.loads.sums();
+    let sums = cx.loads.peer_loads();
     let feedback = cx.feedback.current();
     let mut rng = rand::rng();
     let mut search = Search::default();
-    for entry in entries.iter().filter(|e| e.is_known(now)) {
+    for entry in entries.iter().filter(|e| e.is_current(now)) {
         let upstream = &entry.upstream;
         let is_allowed = job.may_run_in(&cx.cfg.domains, &upstream.domain);
         if !is_allowed || drained.contains_key(&upstream.domain) {
@@ -96,7 +96,7 @@
         {
             continue;
         }
-        let others = sums.of(&upstream.addr);
+        let others = sums.get(&upstream.addr);
         let sound = !view.paused && !is_failing(upstream, &view, others, now);
         let is_far = upstream.domain != cx.roster.domain;
         let warmth = match service.cold_rate.filter(|_| view.is_cold) {
@@ -227,15 +227,15 @@
 }
 
 /// Whether an upstream fails most of what all gateways send there.
-fn is_failing(upstream: &Upstream, view: &View, others: Others, now: Instant) -> bool {
+fn is_failing(upstream: &Upstream, view: &View, others: PeerLoad, now: Instant) -> bool {
     // Few fail at all; only of these it matters what has faded.
-    if !Counts::may_be_failing(others.ended.failed + view.failed_at_most) {
+    if !Counts::may_be_failing(others.outcomes.failed + view.failed_at_most) {
         return false;
     }
     let own = upstream.ended(now);
     let ended = Counts {
-        failed: others.ended.failed + own.failed,
-        answered: others.ended.answered + own.answered,
+        failed: others.outcomes.failed + own.failed,
+        answered: others.outcomes.answered + own.answered,
     };
     ended.is_failing()
 }
@@ -260,7 +260,7 @@
     }
 }
 
-fn candidate(view: &View, others: Others, is_far: bool) -> Candidate {
+fn candidate(view: &View, others: PeerLoad, is_far: bool) -> Candidate {
     Candidate {
         slots: view.slots,
         requests: view.requests + others.requests,
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -68,13 +68,13 @@
 }
 
 /// What to do with a request that the configuration in force here doesn't allow.
-pub(crate) fn verdict(cx: &Cx) -> Verdict {
+pub(crate) fn decision(cx: &Cx) -> Verdict {
     cx.confirmations.denials().verdict(age(cx), clock::now())
 }
 
 /// Asks for a confirmation, unless that is under way, and waits until the configuration was confirmed or a
 /// newer one is in force, or until it is known that neither can be had now; `until` at the latest.
-pub(crate) async fn confirmed(cx: &Arc<Cx>, until: Instant) {
+pub(crate) async fn wait_for_confirmation(cx: &Arc<Cx>, until: Instant) {
     let mut confirmed = cx.mirror.confirmations();
     let mut in_force = cx.configuration.in_force.subscribe();
     let mut over = cx.confirmations.over.subscribe();
@@ -108,7 +108,7 @@
     let cx = &question.0;
     let reaches_store = *cx.reaches_store.borrow();
     let own = &cx.cfg.node.vm;
-    let reader = cx.loads.reader(own, reaches_store, clock::now());
+    let reader = cx.loads.store_reader(own, reaches_store, clock::now());
     match reader {
         Some(reader) => ask_gateway(cx, reader).await,
         None if reaches_store => {
@@ -177,7 +177,7 @@
 
 /// Has the configuration confirmed before it is passed on to a process that wants it so; a process that asks
 /// is never asked back.
-pub(crate) async fn before_passing_on(cx: &Cx, req: &Request) {
+pub(crate) async fn confirm_before_serving(cx: &Cx, req: &Request) {
     let Some(oldest) = mirror::oldest_wanted(req) else {
         return;
     };
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns whether a failure domain is drained.
-    pub fn has(&self, domain: &str) -> bool {
+    pub fn contains(&self, domain: &str) -> bool {
         self.lock().contains_key(domain)
     }
 
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -2,7 +2,7 @@
 //!
 //! It is kept by incarnation and apart from [`Upstream`], since it outlasts an entry that is missing from the
 //! platform's list for a while. What follows from it is decided by [`decide::rate_limit`], [`decide::draining`] and
-//! [`decide::back_off`]; [`crate::announce`] sends rate limits to other gateways.
+//! [`decide::back_off`]; [`crate::rate_limit_updates`] sends rate limits to other gateways.
 
 use std::fmt::Debug;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,9 +15,9 @@
 use log::{info, warn};
 use tokio::sync::Notify;
 
+use crate::announcements::Scope;
 use crate::call::{Advertised, Reply};
-use crate::news::Reach;
-use crate::rate_limits::{Due, RateLimits};
+use crate::rate_limits::{DueRateLimits, RateLimits};
 use crate::upstream::Upstream;
 
 /// Log prefix of this part.
@@ -73,7 +73,7 @@
     pub fn receive(
         &self,
         updates: Vec<RateLimitUpdate>,
-        relay_to: Option<Reach>,
+        relay_to: Option<Scope>,
         now: Instant,
     ) -> bool {
         let mut state = self.state();
@@ -99,7 +99,7 @@
     }
 
     /// Takes the updates to other gateways that are due.
-    pub fn due(&self, now: Instant) -> Due {
+    pub fn due(&self, now: Instant) -> DueRateLimits {
         self.state().rate_limits.due(now)
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Drops the feedback of upstreams that ended, and what has expired.
-    pub fn forget(&self, listed: &Set<LifeId>, now: Instant) {
+    pub fn purge(&self, listed: &Set<LifeId>, now: Instant) {
         let State {
             rate_limits,
             draining,
--- a/crates/gateway/src/gauges.rs
+++ b/crates/gateway/src/gauges.rs
@@ -10,7 +10,7 @@
 const INTERVAL: Duration = Duration::from_secs(1);
 
 /// Keeps the gauges up to date.
-pub(crate) async fn gauges(cx: Arc<Cx>) {
+pub(crate) async fn update_gauges(cx: Arc<Cx>) {
     loop {
         set(&cx);
         tokio::time::sleep(INTERVAL).await;
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What a gateway does when other processes tell it something by datagram; [`crate::tell`] is what it tells.
+//! What a gateway does when other processes tell it something by datagram; [`crate::load_updates`] is what it tells.
 //!
 //! Loads of other gateways are taken into the book; who is told of a newer document copies it. A loader whose
 //! note shows that it missed a release is told of it.
@@ -14,11 +14,11 @@
 use mirror::DocName;
 use web::{Client, Dial};
 
-use crate::announce;
-use crate::news::Reach;
+use crate::announcements::Scope;
+use crate::load_updates::hello;
+use crate::rate_limit_updates::sync_rate_limits;
 use crate::send::report;
-use crate::spread::greet;
-use crate::tell::greeting;
+use crate::suspect_updates::sync_suspects;
 use crate::upstream::Health;
 use crate::{Cx, Followed};
 
@@ -47,13 +47,13 @@
             Msg::RelayedLoad(note) => hear_domain(&cx, &client, note),
             Msg::LoadChanges(changes) => {
                 let own = &cx.cfg.node.vm;
-                cx.loads.take_changes(own, changes, clock::now());
+                cx.loads.apply_changes(own, changes, clock::now());
             }
             Msg::Engine(note) => hear_loader(&cx, &beacon, note, from),
             Msg::Suspects(notes) => hear_suspects(&cx, notes, None),
-            Msg::FarSuspects(notes) => hear_suspects(&cx, notes, Some(Reach::Near)),
+            Msg::FarSuspects(notes) => hear_suspects(&cx, notes, Some(Scope::Near)),
             Msg::RateLimits(updates) => receive_rate_limits(&cx, updates, None),
-            Msg::FarRateLimits(updates) => receive_rate_limits(&cx, updates, Some(Reach::Near)),
+            Msg::FarRateLimits(updates) => receive_rate_limits(&cx, updates, Some(Scope::Near)),
             Msg::Chunks(_) | Msg::Releases(_) => {}
         }
     }
@@ -61,8 +61,8 @@
 
 /// Takes what another gateway tells of requests under which upstreams ended; those upstreams are left alone,
 /// so that not each gateway finds out by requests that reach nobody.
-fn hear_suspects(cx: &Cx, notes: Vec<SuspectNote>, pass_on: Option<Reach>) {
-    let ended = cx.suspects.hear(notes, pass_on);
+fn hear_suspects(cx: &Cx, notes: Vec<SuspectNote>, pass_on: Option<Scope>) {
+    let ended = cx.suspects.receive(notes, pass_on);
     if ended.is_empty() {
         return;
     }
@@ -73,7 +73,7 @@
 }
 
 /// Takes updates of rate limits; a limit that was lifted may make room for a queued request.
-fn receive_rate_limits(cx: &Cx, updates: Vec<RateLimitUpdate>, relay_to: Option<Reach>) {
+fn receive_rate_limits(cx: &Cx, updates: Vec<RateLimitUpdate>, relay_to: Option<Scope>) {
     if cx.feedback.receive(updates, relay_to, clock::now()) {
         cx.admission.freed().notify_one();
     }
@@ -90,7 +90,7 @@
     if let Some(newer) = cx.releases.newer_than(&note.releases) {
         beacon.send(&Msg::Releases(newer), [from]);
     }
-    if cx.roster.note(note, now) {
+    if cx.roster.apply_status(note, now) {
         cx.admission.freed().notify_one();
     }
 }
@@ -106,18 +106,18 @@
     copy_newer(cx, client, |cx| &cx.configuration, note.configuration, from);
     copy_newer(cx, client, |cx| &cx.upstreams, note.upstreams, from);
     copy_newer(cx, client, |cx| &cx.members, note.members, from);
-    cx.loads.heard_from(&note.from, sender);
-    if cx.loads.take(note, clock::now()) {
-        beacon.send(&greeting(cx), [sender]);
-        greet(cx, beacon, sender);
-        announce::sync(cx, beacon, sender);
+    cx.loads.record_address(&note.from, sender);
+    if cx.loads.apply_update(note, clock::now()) {
+        beacon.send(&hello(cx), [sender]);
+        sync_suspects(cx, beacon, sender);
+        sync_rate_limits(cx, beacon, sender);
     }
 }
 
 /// Takes what another failure domain tells.
 fn hear_domain(cx: &Arc<Cx>, client: &Client, note: LoadNote) {
     follow(cx, client, &note);
-    cx.loads.take_domain(note, clock::now());
+    cx.loads.apply_domain_update(note, clock::now());
 }
 
 /// Copies a document of another gateway of the failure domain where it is newer, unless that is under
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -15,14 +15,14 @@
 use crate::Cx;
 use crate::admission::{slot, wait_until};
 use crate::call::{Call, Job};
-use crate::confirm::{confirmed, verdict};
+use crate::confirm::{decision, wait_for_confirmation};
 use crate::loss::{self, Loss};
 use crate::record::{Ending, Record};
 use crate::refusal::Refusal;
 use crate::relay::{self, Stream};
 use crate::send::{Answer, Sent, read_whole, report, send};
 use crate::spans::Span;
-use crate::suspects::permitted;
+use crate::suspects::wait_until_permitted;
 use crate::upstream::{Health, Slot, Upstream};
 
 /// Log prefix of this part.
@@ -72,7 +72,7 @@
     }
     let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
     record.patience_ms = patience.as_millis() as u64;
-    let waited = cx.ages.waited(&route.name, call.patience, arrived);
+    let waited = cx.ages.attempt_age(&route.name, call.patience, arrived);
     record.waited_ms = waited.as_millis() as u64;
     let body = read(&catalog, &head, body, patience).await?;
     let service = route.service(rand::rng().random_range(0.0..1.0)).clone();
@@ -124,14 +124,14 @@
             Ok(allowed) => return Ok(allowed),
             Err(denial) => denial,
         };
-        match verdict(cx) {
+        match decision(cx) {
             // The verdict goes for the configuration in force by now, so that one is looked up.
             Verdict::Deny if !is_in_force(cx, &catalog) => continue,
             Verdict::Deny => return Err(denial),
-            Verdict::Confirm => confirmed(cx, until).await,
+            Verdict::Confirm => wait_for_confirmation(cx, until).await,
             Verdict::Refuse => return Err(Refusal::Unconfirmed(NOT_READY_RETRY)),
         }
-        if clock::now() >= until && verdict(cx) != Verdict::Deny {
+        if clock::now() >= until && decision(cx) != Verdict::Deny {
             return Err(Refusal::Unconfirmed(NOT_READY_RETRY));
         }
     }
@@ -243,7 +243,7 @@
     let job = Arc::new(job);
     let mut tries = Tries::default();
     loop {
-        let care = match permitted(cx, &job).await {
+        let care = match wait_until_permitted(cx, &job).await {
             Ok(care) => care,
             Err(refusal) => return tries.give_up(refusal, record),
         };
@@ -262,7 +262,7 @@
             return tries.give_up(refusal, record);
         }
         // What is known of it may have changed while it waited.
-        slot.trial = match cx.suspects.begin(&job, slot.upstream().addr).await {
+        slot.trial = match cx.suspects.begin_trial(&job, slot.upstream().addr).await {
             Ok(trial) => trial,
             Err(refusal) => return tries.give_up(refusal, record),
         };
@@ -360,7 +360,7 @@
     }
     if !head.status.is_server_error() {
         report(slot.upstream(), Health::Answered);
-        cx.suspects.finished(job);
+        cx.suspects.record_completion(job);
     }
     let mut res = Response::new(full(buf));
     *res.status_mut() = head.status;
--- a/crates/gateway/src/introduction.rs
+++ b/crates/gateway/src/introduction.rs
@@ -80,7 +80,7 @@
     }
 
     /// Waits until a process is to be registered.
-    pub async fn pending(&self) {
+    pub async fn wait_for_pending(&self) {
         self.pending.notified().await;
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Notes that processes were registered.
-    pub fn registered(&self, members: &[Member]) {
+    pub fn mark_registered(&self, members: &[Member]) {
         let mut introduced = self.introduced();
         for member in members {
             match introduced.get_mut(&member.vm) {
@@ -106,7 +106,7 @@
     }
 
     /// Gateways of the process's failure domain, but itself; the first by name.
-    pub fn gateways_near(&self, process: &Member) -> Vec<Member> {
+    pub fn nearby_gateways(&self, process: &Member) -> Vec<Member> {
         let is_near = |m: &&Member| {
             m.role == Role::Gateway && m.domain == process.domain && m.vm != process.vm
         };
@@ -155,7 +155,7 @@
         let mut arrived = self.arrived.subscribe();
         let known = async {
             loop {
-                let near = self.gateways_near(process);
+                let near = self.nearby_gateways(process);
                 if !near.is_empty() || arrived.changed().await.is_err() {
                     return near;
                 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -13,8 +13,8 @@
 #![deny(clippy::disallowed_methods)]
 
 pub mod admission;
-mod ages;
-mod announce;
+pub mod announcements;
+mod attempt_ages;
 mod balance;
 pub mod call;
 mod confirm;
@@ -26,10 +26,12 @@
 mod gossip;
 mod handle;
 pub mod introduction;
+mod load_sums;
+pub mod load_updates;
 pub mod loads;
 mod loss;
 pub mod membership;
-pub mod news;
+mod rate_limit_updates;
 pub mod rate_limits;
 mod record;
 pub mod refusal;
@@ -38,10 +40,8 @@
 mod send;
 mod serve;
 pub mod spans;
-mod spread;
+mod suspect_updates;
 pub mod suspects;
-mod tally;
-pub mod tell;
 mod unconfirmed;
 pub mod upstream;
 
@@ -57,14 +57,14 @@
 use tokio::sync::{Notify, watch};
 
 use crate::admission::Admission;
-use crate::ages::Ages;
+use crate::attempt_ages::AttemptAges;
 use crate::call::Codec;
 use crate::confirm::Confirmations;
 use crate::drain::Drains;
 use crate::feedback::Feedback;
 use crate::introduction::Introductions;
-use crate::loads::LoadBook;
-use crate::membership::Roster;
+use crate::loads::LoadTable;
+use crate::membership::UpstreamTable;
 use crate::release::Releases;
 use crate::suspects::Suspects;
 
@@ -79,7 +79,7 @@
     /// Configuration in force; `None` until one is known.
     pub catalog: watch::Receiver<Option<Arc<Catalog>>>,
     /// Upstreams.
-    pub roster: Roster,
+    pub roster: UpstreamTable,
     /// Failure domains that operators have drained.
     pub drains: Drains,
     /// Feedback of upstreams in their answers.
@@ -89,13 +89,13 @@
     /// Requests waiting for a slot.
     pub admission: Admission,
     /// How long ago callers first asked.
-    pub ages: Ages,
+    pub ages: AttemptAges,
     /// Budget of requests sent again.
     pub budget: RetryBudget,
     /// Requests under which upstreams ended.
     pub suspects: Arc<Suspects>,
     /// What other gateways have in flight.
-    pub loads: LoadBook,
+    pub loads: LoadTable,
     /// Processes that introduced themselves here.
     pub introductions: Introductions,
     /// Copies of documents.
@@ -171,14 +171,14 @@
         let cfg = wiring.cfg;
         Cx {
             budget: RetryBudget::new(cfg.retry_window, cfg.retry_ratio, cfg.retry_slack),
-            roster: Roster::new(cfg.node.domain.clone(), cfg.return_time),
+            roster: UpstreamTable::new(cfg.node.domain.clone(), cfg.return_time),
             drains: Drains::default(),
             feedback: Feedback::default(),
             releases: Releases::new(cfg.node.version_time, cfg.node.contact_time),
             admission: Admission::default(),
-            ages: Ages::default(),
+            ages: AttemptAges::default(),
             suspects: Arc::new(Suspects::new(cfg.hold_time)),
-            loads: LoadBook::default(),
+            loads: LoadTable::default(),
             introductions: Introductions::new(wiring.listed),
             incarnation: base::unix_ms(),
             started: clock::now(),
@@ -215,7 +215,7 @@
     /// Whether callers' requests can be served.
     pub fn is_ready(&self) -> bool {
         let stopping = *self.stop.borrow();
-        !stopping && self.catalog.borrow().is_some() && self.roster.is_known()
+        !stopping && self.catalog.borrow().is_some() && self.roster.is_loaded()
     }
 }
 
--- a/crates/gateway/src/tally.rs
+++ b/crates/gateway/src/load_sums.rs
@@ -7,7 +7,7 @@
 use beacon::Load;
 use decide::outcomes::Counts;
 
-use crate::loads::Others;
+use crate::loads::PeerLoad;
 
 /// Sum of the loads of one upstream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -20,11 +20,11 @@
 
 /// Sums by upstream.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct LoadSums {
     sums: Map<SocketAddr, Sum>,
 }
 
-impl Tally {
+impl LoadSums {
     /// Adds loads.
     pub(crate) fn add(&mut self, loads: &[Load]) {
         for load in loads {
@@ -53,12 +53,12 @@
     }
 
     /// The sum of an upstream's loads.
-    pub(crate) fn of(&self, upstream: &SocketAddr) -> Others {
+    pub(crate) fn of(&self, upstream: &SocketAddr) -> PeerLoad {
         let sum = self.sums.get(upstream).copied().unwrap_or_default();
-        Others {
+        PeerLoad {
             requests: sum.requests,
             unread: sum.unread,
-            ended: Counts {
+            outcomes: Counts {
                 failed: f64::from(sum.failed),
                 answered: f64::from(sum.answered),
             },
--- a/crates/gateway/src/tell.rs
+++ b/crates/gateway/src/load_updates.rs
@@ -18,7 +18,7 @@
 use log::info;
 
 use crate::Cx;
-use crate::loads::{MOST_LOADS, largest, relays};
+use crate::loads::{MAX_LOADS, largest_loads, receiver_per_domain};
 
 /// Log prefix of this part.
 const PART: &str = "tell";
@@ -44,7 +44,7 @@
 }
 
 /// Tells other gateways of the failure domain what is in flight here, and which documents are held.
-pub(crate) async fn tell(cx: Arc<Cx>, beacon: Beacon) {
+pub(crate) async fn send_updates(cx: Arc<Cx>, beacon: Beacon) {
     let mut documents = cx.mirror.changes();
     let mut peers = cx.peers.clone();
     let mut told = clock::now();
@@ -66,7 +66,7 @@
         let now = clock::now();
         let near = near_gateways(&cx, now);
         let audience = audience(&cx, news, near.len(), now);
-        let note = load_note(&cx, largest(own_loads(&cx)));
+        let note = load_note(&cx, largest_loads(own_loads(&cx)));
         beacon.send(&Msg::Load(note), receivers(&cx, &near, audience));
         told = now;
         if audience == Audience::All {
@@ -88,7 +88,7 @@
 /// were heard, since a list is a second behind.
 pub(crate) fn near_gateways(cx: &Cx, now: Instant) -> Map<VmId, SocketAddr> {
     let mut near = cx.peers.borrow().near_gateways.clone();
-    near.extend(cx.loads.beacons(now));
+    near.extend(cx.loads.addresses(now));
     near
 }
 
@@ -97,7 +97,7 @@
     match audience {
         Audience::All => near.values().copied().collect(),
         Audience::First => {
-            let first = cx.loads.first(&cx.cfg.node.vm, RELAYS, clock::now());
+            let first = cx.loads.leaders(&cx.cfg.node.vm, RELAYS, clock::now());
             first
                 .iter()
                 .filter_map(|vm| near.get(vm))
@@ -108,8 +108,8 @@
 }
 
 /// Passes changes of load on to all gateways of the failure domain, while that falls to this one.
-pub(crate) async fn pass_changes_on(cx: Arc<Cx>, beacon: Beacon) {
-    let mut passed = Passed::default();
+pub(crate) async fn relay_changes(cx: Arc<Cx>, beacon: Beacon) {
+    let mut passed = RelayedLoads::default();
     let mut pause = GATHER_TIME;
     loop {
         tokio::time::sleep(pause).await;
@@ -117,12 +117,12 @@
         let near = near_gateways(&cx, now);
         let rank = cx.loads.rank(&cx.cfg.node.vm, now);
         if !passes_on(near.len(), rank, cx.loads.is_relayed(now)) {
-            passed = Passed::default();
+            passed = RelayedLoads::default();
             pause = looks_again(rank);
             continue;
         }
         pause = GATHER_TIME;
-        let mut loads = cx.loads.near(now);
+        let mut loads = cx.loads.near_loads(now);
         loads.push(own_change(&cx));
         for msg in packed(passed.changes(loads, now), Msg::LoadChanges) {
             beacon.send(&msg, near.values().copied());
@@ -135,17 +135,17 @@
         from: cx.cfg.node.vm.clone(),
         incarnation: cx.incarnation,
         number: cx.notes.fetch_add(1, Relaxed),
-        loads: largest(own_loads(cx)),
+        loads: largest_loads(own_loads(cx)),
     }
 }
 
 /// Loads of each gateway as they were last passed on, and when anything of it was.
 #[derive(Debug, Default)]
-pub struct Passed {
+pub struct RelayedLoads {
     loads: Map<VmId, (Vec<Load>, Instant)>,
 }
 
-impl Passed {
+impl RelayedLoads {
     /// What has changed since, and now and then which gateways are up though nothing of theirs has; notes
     /// what is passed on now.
     pub fn changes(&mut self, gateways: Vec<LoadChange>, now: Instant) -> Vec<LoadChange> {
@@ -183,33 +183,33 @@
 
 /// Tells gateways of other failure domains what this one has in flight, while this gateway is the
 /// first of it.
-pub(crate) async fn tell_domain(cx: Arc<Cx>, beacon: Beacon) {
-    let mut told = Told::default();
+pub(crate) async fn send_domain_updates(cx: Arc<Cx>, beacon: Beacon) {
+    let mut told = PublishedLoads::default();
     let mut pause = DOMAIN_LOAD_INTERVAL;
     loop {
         tokio::time::sleep(pause).await;
         let rank = cx.loads.rank(&cx.cfg.node.vm, clock::now());
         if rank > 0 {
-            told = Told::default();
+            told = PublishedLoads::default();
             pause = looks_again(rank);
             continue;
         }
         pause = DOMAIN_LOAD_INTERVAL;
-        let loads = told.next(cx.loads.domain(&own_loads(&cx)));
+        let loads = told.next(cx.loads.domain_loads(&own_loads(&cx)));
         let note = load_note(&cx, loads);
-        let to = relays(&cx.peers.borrow().far_gateways, note.number);
+        let to = receiver_per_domain(&cx.peers.borrow().far_gateways, note.number);
         beacon.send(&Msg::DomainLoad(note), to);
     }
 }
 
 /// Loads of the failure domain as others were last told, and in which turn.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct PublishedLoads {
     loads: Map<SocketAddr, (Load, u64)>,
     turn: u64,
 }
 
-impl Told {
+impl PublishedLoads {
     /// What others are told next, as much as fits a note: loads that differ most from what they were told,
     /// those that are gone with nothing in flight, and those that were told longest ago, should a note of
     /// theirs have been lost.
@@ -222,7 +222,7 @@
         let (mut changed, mut rest): (Vec<Load>, Vec<Load>) =
             all.partition(|load| self.difference(load) > 0);
         changed.sort_by_key(|load| std::cmp::Reverse(self.difference(load)));
-        rest.extend(changed.split_off(changed.len().min(MOST_LOADS - REFRESHED)));
+        rest.extend(changed.split_off(changed.len().min(MAX_LOADS - REFRESHED)));
         rest.retain(|load| self.loads.contains_key(&load.upstream));
         rest.sort_by_key(|load| self.loads.get(&load.upstream).map(|(_, turn)| *turn));
         changed.extend(rest.into_iter().take(REFRESHED));
@@ -277,13 +277,13 @@
 }
 
 /// A note for a gateway that has just started: it is to know at once who is up, and what to copy.
-pub(crate) fn greeting(cx: &Cx) -> Msg {
-    Msg::Load(load_note(cx, largest(own_loads(cx))))
+pub(crate) fn hello(cx: &Cx) -> Msg {
+    Msg::Load(load_note(cx, largest_loads(own_loads(cx))))
 }
 
 /// Tells the loaders of the failure domain of each release as it becomes known. Those of others hear of it
 /// from gateways there.
-pub(crate) async fn release(cx: Arc<Cx>, beacon: Beacon) {
+pub(crate) async fn send_releases(cx: Arc<Cx>, beacon: Beacon) {
     let mut newest = cx.releases.newest();
     while newest.changed().await.is_ok() {
         let list = newest.borrow_and_update().clone();
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -1,7 +1,7 @@
 //! What other gateways have in flight at each upstream, and how they lately fared there.
 //!
 //! Few gateways of a failure domain tell each other after each change; where there are many, the first of
-//! them passes changes on (see [`crate::tell`]), and all tell each other at intervals. To other domains, whose
+//! them passes changes on (see [`crate::load_updates`]), and all tell each other at intervals. To other domains, whose
 //! links are narrow and shared with requests and weights, one gateway tells the sum of its domain at
 //! intervals: the first by VM of those that were heard lately. No one is chosen for it; two that both take
 //! themselves for the first do no harm, since a newer sum replaces an older one. One gateway of the other
@@ -15,7 +15,7 @@
 use beacon::{Load, LoadChange, LoadNote};
 use decide::outcomes::Counts;
 
-use crate::tally::Tally;
+use crate::load_sums::LoadSums;
 
 /// A note older than this says nothing any more; notes come several times as often.
 const NOTE_TIME: Duration = Duration::from_millis(1500);
@@ -31,17 +31,17 @@
 const RELAY_SILENT: Duration = Duration::from_millis(300);
 
 /// Most upstreams in one note, so that it fits a datagram.
-pub const MOST_LOADS: usize = 80;
+pub const MAX_LOADS: usize = 80;
 
 /// Requests of others at an upstream.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Others {
+pub struct PeerLoad {
     /// Requests.
     pub requests: u32,
     /// Prompt tokens not yet read.
     pub unread: u64,
     /// How requests lately ended.
-    pub ended: Counts,
+    pub outcomes: Counts,
 }
 
 /// A note, and when its sender was last heard.
@@ -58,10 +58,10 @@
     near: Map<VmId, Heard>,
     /// Where these take datagrams.
     beacons: Map<VmId, SocketAddr>,
-    near_sums: Tally,
+    near_sums: LoadSums,
     /// Sums of other failure domains.
     far: Map<DomainName, Heard>,
-    far_sums: Tally,
+    far_sums: LoadSums,
     swept: Option<Instant>,
     /// When changes were last passed on by another gateway.
     relayed: Option<Instant>,
@@ -69,18 +69,18 @@
 
 /// Notes of all other gateways.
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTable {
     state: Mutex<State>,
 }
 
-impl LoadBook {
+impl LoadTable {
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes a note of a gateway of the own failure domain, unless a newer one is known; `true` where
     /// that gateway wasn't heard lately, or has started anew.
-    pub fn take(&self, note: LoadNote, now: Instant) -> bool {
+    pub fn apply_update(&self, note: LoadNote, now: Instant) -> bool {
         let mut state = self.state();
         state.sweep(now);
         let known = state.near.get(&note.from);
@@ -98,7 +98,7 @@
     }
 
     /// Notes where a gateway of the own failure domain takes datagrams: it may not be listed here yet.
-    pub fn heard_from(&self, vm: &VmId, beacon: SocketAddr) {
+    pub fn record_address(&self, vm: &VmId, beacon: SocketAddr) {
         let mut state = self.state();
         if state.beacons.get(vm) != Some(&beacon) {
             state.beacons.insert(vm.clone(), beacon);
@@ -106,7 +106,7 @@
     }
 
     /// Gateways of the own failure domain that were heard lately, and where they take datagrams.
-    pub fn beacons(&self, now: Instant) -> Vec<(VmId, SocketAddr)> {
+    pub fn addresses(&self, now: Instant) -> Vec<(VmId, SocketAddr)> {
         let state = self.state();
         let beacon = |note: &LoadNote| Some((note.from.clone(), *state.beacons.get(&note.from)?));
         state.heard(now).filter_map(beacon).collect()
@@ -114,7 +114,7 @@
 
     /// Takes changes that a gateway of the own failure domain passes on of all of it. One of a gateway whose
     /// whole note never came is passed over: that note comes soon.
-    pub fn take_changes(&self, own: &VmId, changes: Vec<LoadChange>, now: Instant) {
+    pub fn apply_changes(&self, own: &VmId, changes: Vec<LoadChange>, now: Instant) {
         let mut state = self.state();
         state.sweep(now);
         state.relayed = Some(now);
@@ -125,7 +125,7 @@
 
     /// Takes what has changed of the sum of another failure domain, unless newer changes of the same gateway are
     /// known; of another gateway, or one that has started anew, it is the sum from now on.
-    pub fn take_domain(&self, note: LoadNote, now: Instant) {
+    pub fn apply_domain_update(&self, note: LoadNote, now: Instant) {
         let mut state = self.state();
         state.sweep(now);
         let known = state.far.get(&note.domain);
@@ -135,13 +135,13 @@
     }
 
     /// What others have in flight at an upstream.
-    pub fn others(&self, upstream: &SocketAddr) -> Others {
-        self.sums().of(upstream)
+    pub fn peer_load(&self, upstream: &SocketAddr) -> PeerLoad {
+        self.peer_loads().get(upstream)
     }
 
     /// What others have in flight at one upstream after the other, for a choice among many.
-    pub fn sums(&self) -> Sums<'_> {
-        Sums(self.state())
+    pub fn peer_loads(&self) -> PeerLoads<'_> {
+        PeerLoads(self.state())
     }
 
     /// Rank of a gateway among those of its failure domain that were heard lately, by VM. The first,
@@ -152,7 +152,7 @@
 
     /// The first `n` gateways of the failure domain that were heard lately, by VM; the own one is left out,
     /// but counts.
-    pub fn first(&self, own: &VmId, n: usize, now: Instant) -> Vec<VmId> {
+    pub fn leaders(&self, own: &VmId, n: usize, now: Instant) -> Vec<VmId> {
         let state = self.state();
         let mut vms: Vec<&VmId> = state.heard(now).map(|note| &note.from).collect();
         vms.push(own);
@@ -168,7 +168,7 @@
     }
 
     /// What each gateway of the failure domain that was heard lately has in flight.
-    pub fn near(&self, now: Instant) -> Vec<LoadChange> {
+    pub fn near_loads(&self, now: Instant) -> Vec<LoadChange> {
         let state = self.state();
         let near = state.heard(now).map(|note| LoadChange {
             from: note.from.clone(),
@@ -198,7 +198,12 @@
 
     /// Where to ask for what the store has now: the first gateway of the failure domain that reaches the
     /// store, or one of another domain. `None` where that is this gateway itself, or nobody.
-    pub fn reader(&self, own: &VmId, reaches_store: bool, now: Instant) -> Option<SocketAddr> {
+    pub fn store_reader(
+        &self,
+        own: &VmId,
+        reaches_store: bool,
+        now: Instant,
+    ) -> Option<SocketAddr> {
         let state = self.state();
         let near = state.heard(now).filter(|note| note.reaches_store);
         let first = near.min_by(|a, b| a.from.cmp(&b.from));
@@ -211,9 +216,9 @@
 
     /// The sum of the own failure domain, with what this gateway has in flight itself, in the order of the
     /// upstreams' addresses.
-    pub fn domain(&self, own: &[Load]) -> Vec<Load> {
+    pub fn domain_loads(&self, own: &[Load]) -> Vec<Load> {
         let own_sums = {
-            let mut sums = Tally::default();
+            let mut sums = LoadSums::default();
             sums.add(own);
             sums
         };
@@ -229,8 +234,8 @@
                 requests: u16::try_from(sum.requests).unwrap_or(u16::MAX),
                 unread: u32::try_from(sum.unread).unwrap_or(u32::MAX),
                 // Casts of floats saturate.
-                failed: sum.ended.failed as u16,
-                answered: sum.ended.answered as u16,
+                failed: sum.outcomes.failed as u16,
+                answered: sum.outcomes.answered as u16,
             }
         };
         upstreams.into_iter().map(load).collect()
@@ -239,25 +244,25 @@
 
 /// Sums of all notes, which stay as they are while this is held.
 #[derive(Debug)]
-pub struct Sums<'a>(MutexGuard<'a, State>);
+pub struct PeerLoads<'a>(MutexGuard<'a, State>);
 
-impl Sums<'_> {
+impl PeerLoads<'_> {
     /// What others have in flight at an upstream.
-    pub fn of(&self, upstream: &SocketAddr) -> Others {
+    pub fn get(&self, upstream: &SocketAddr) -> PeerLoad {
         self.0.near_sums.of(upstream) + self.0.far_sums.of(upstream)
     }
 }
 
-impl std::ops::Add for Others {
-    type Output = Others;
+impl std::ops::Add for PeerLoad {
+    type Output = PeerLoad;
 
-    fn add(self, other: Others) -> Others {
-        Others {
+    fn add(self, other: PeerLoad) -> PeerLoad {
+        PeerLoad {
             requests: self.requests + other.requests,
             unread: self.unread + other.unread,
-            ended: Counts {
-                failed: self.ended.failed + other.ended.failed,
-                answered: self.ended.answered + other.ended.answered,
+            outcomes: Counts {
+                failed: self.outcomes.failed + other.outcomes.failed,
+                answered: self.outcomes.answered + other.outcomes.answered,
             },
         }
     }
@@ -265,7 +270,7 @@
 
 /// A gateway of each other failure domain, another one with each note, so that one which is lost or frozen
 /// costs a note now and then.
-pub fn relays(far: &[Vec<SocketAddr>], note: u64) -> Vec<SocketAddr> {
+pub fn receiver_per_domain(far: &[Vec<SocketAddr>], note: u64) -> Vec<SocketAddr> {
     let relay = |domain: &Vec<SocketAddr>| {
         let n = u64::try_from(domain.len()).ok().filter(|n| *n > 0)?;
         let i = usize::try_from(note % n).ok()?;
@@ -275,12 +280,12 @@
 }
 
 /// As many loads as fit a note, the largest. What is left out is counted.
-pub fn largest(mut loads: Vec<Load>) -> Vec<Load> {
-    if loads.len() > MOST_LOADS {
-        let left_out = loads.len() - MOST_LOADS;
+pub fn largest_loads(mut loads: Vec<Load>) -> Vec<Load> {
+    if loads.len() > MAX_LOADS {
+        let left_out = loads.len() - MAX_LOADS;
         metrics::counter!("driftnotch_loads_left_out_total").increment(left_out as u64);
         loads.sort_by_key(|l| std::cmp::Reverse((l.requests, l.unread)));
-        loads.truncate(MOST_LOADS);
+        loads.truncate(MAX_LOADS);
     }
     loads
 }
@@ -376,7 +381,7 @@
 }
 
 /// Puts changed loads in place of those known, here and in the sums.
-fn replace(known: &mut Vec<Load>, changed: Vec<Load>, sums: &mut Tally) {
+fn replace(known: &mut Vec<Load>, changed: Vec<Load>, sums: &mut LoadSums) {
     for load in changed {
         sums.add(&[load]);
         match known.iter_mut().find(|l| l.upstream == load.upstream) {
@@ -387,7 +392,7 @@
 }
 
 /// Whether a note isn't out of date; takes the loads of one that is off the sums.
-fn keep(heard: &Heard, sums: &mut Tally, now: Instant) -> bool {
+fn keep(heard: &Heard, sums: &mut LoadSums, now: Instant) -> bool {
     let kept = !heard.is_old(now);
     if !kept {
         sums.remove(&heard.note.loads);
--- a/crates/gateway/src/loss.rs
+++ b/crates/gateway/src/loss.rs
@@ -79,13 +79,13 @@
                 "{PART}: event=upstream_ended upstream={} addr={} request={} route={} id={} why=\"{loss}\"",
                 upstream.instance, upstream.addr, job.fingerprint(), job.route.name, job.call.id,
             );
-            cx.suspects.ended(job, upstream);
+            cx.suspects.record_exit(job, upstream);
         }
         // It was noted as a failure when it came.
         (Fate::Unknown, Loss::Unclear(_)) => {}
         (Fate::Unknown, _) => {
             report(upstream, Health::Failed);
-            cx.suspects.lost_answer(job, upstream);
+            cx.suspects.record_lost_response(job, upstream);
         }
     }
     metrics::counter!("driftnotch_lost_answers_total", "upstream" => fate.name()).increment(1);
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -36,7 +36,7 @@
 
 impl Entry {
     /// Whether it is listed, or kept for now.
-    pub fn is_known(&self, now: Instant) -> bool {
+    pub fn is_current(&self, now: Instant) -> bool {
         self.kept_until.is_none_or(|until| now < until)
     }
 }
@@ -55,17 +55,17 @@
 
 /// Upstreams.
 #[derive(Debug)]
-pub struct Roster {
+pub struct UpstreamTable {
     /// The own failure domain.
     pub domain: DomainName,
     return_time: Duration,
     state: Mutex<State>,
 }
 
-impl Roster {
+impl UpstreamTable {
     /// An empty roster.
-    pub fn new(domain: DomainName, return_time: Duration) -> Roster {
-        Roster {
+    pub fn new(domain: DomainName, return_time: Duration) -> UpstreamTable {
+        UpstreamTable {
             domain,
             return_time,
             state: Mutex::default(),
@@ -77,13 +77,13 @@
     }
 
     /// Whether a list has ever come.
-    pub fn is_known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.state().known
     }
 
     /// Takes a whole list; `gap` is how long the store had not confirmed the one before when it
     /// confirmed this one. `true` where anything changed.
-    pub fn list(&self, all: Vec<Listed>, gap: Duration, now: Instant) -> bool {
+    pub fn apply_list(&self, all: Vec<Listed>, gap: Duration, now: Instant) -> bool {
         let all = newest_at_each_address(all);
         let mut state = self.state();
         state.known = true;
@@ -144,7 +144,7 @@
     }
 
     /// Takes a loader's note; `true` where it changes what an upstream can serve.
-    pub fn note(&self, note: EngineNote, now: Instant) -> bool {
+    pub fn apply_status(&self, note: EngineNote, now: Instant) -> bool {
         let upstream = self.state().by_addr.get(&note.upstream).cloned();
         upstream.is_some_and(|u| u.note(note, now))
     }
@@ -156,15 +156,15 @@
     }
 
     /// Upstreams of a service that take new work.
-    pub fn of(&self, service: &str, now: Instant) -> Vec<Arc<Upstream>> {
-        let usable = |e: &&Entry| e.is_known(now) && !e.upstream.is_leaving();
+    pub fn available(&self, service: &str, now: Instant) -> Vec<Arc<Upstream>> {
+        let usable = |e: &&Entry| e.is_current(now) && !e.upstream.is_leaving();
         let entries = self.entries(service);
         let usable = entries.iter().filter(usable);
         usable.map(|e| e.upstream.clone()).collect()
     }
 
     /// Notes that the upstreams of a failure domain may have turned cold, by what was known at a revision.
-    pub fn may_be_cold(&self, domain: &str, revision: Revision) {
+    pub fn mark_possibly_cold(&self, domain: &str, revision: Revision) {
         let state = self.state();
         let of_domain = state
             .entries
@@ -174,7 +174,7 @@
     }
 
     /// Lives of all upstreams.
-    pub fn lives(&self) -> Set<LifeId> {
+    pub fn incarnations(&self) -> Set<LifeId> {
         let state = self.state();
         state.entries.values().map(|e| e.upstream.life).collect()
     }
--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/rate_limit_updates.rs
@@ -11,7 +11,7 @@
 use beacon::{Beacon, Msg, RateLimitUpdate, packed};
 
 use crate::Cx;
-use crate::spread::{Messages, send};
+use crate::suspect_updates::{MessageKinds, send};
 
 /// Time in which changes are batched.
 const GATHER_TIME: Duration = Duration::from_millis(3);
@@ -19,13 +19,13 @@
 /// Time between two purges of expired feedback.
 const PURGE_INTERVAL: Duration = Duration::from_secs(60);
 
-const RATE_LIMITS: Messages<RateLimitUpdate> = Messages {
+const RATE_LIMITS: MessageKinds<RateLimitUpdate> = MessageKinds {
     near: Msg::RateLimits,
     far: Msg::FarRateLimits,
 };
 
 /// Sends pending updates.
-pub(crate) async fn announce(cx: Arc<Cx>, beacon: Beacon) {
+pub(crate) async fn send_rate_limits(cx: Arc<Cx>, beacon: Beacon) {
     let mut number = 0;
     let mut next = None;
     let mut purged = clock::now();
@@ -38,7 +38,7 @@
         send(&cx, &beacon, due.near, due.far, RATE_LIMITS, number);
         if now.saturating_duration_since(purged) >= PURGE_INTERVAL {
             purged = now;
-            cx.feedback.forget(&cx.roster.lives(), now);
+            cx.feedback.purge(&cx.roster.incarnations(), now);
         }
     }
 }
@@ -53,7 +53,7 @@
 }
 
 /// Sends all limits that hold to a gateway that has just started.
-pub(crate) fn sync(cx: &Cx, beacon: &Beacon, starter: SocketAddr) {
+pub(crate) fn sync_rate_limits(cx: &Cx, beacon: &Beacon, starter: SocketAddr) {
     for msg in packed(cx.feedback.updates(clock::now()), Msg::RateLimits) {
         beacon.send(&msg, [starter]);
     }
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -7,8 +7,8 @@
 use decide::rate_limit::RateLimit;
 use log::info;
 
+use crate::announcements::{Announcement, Scope};
 use crate::call::Advertised;
-use crate::news::{Announcement, Reach};
 use crate::upstream::Upstream;
 
 /// Log prefix of this part.
@@ -35,7 +35,7 @@
 
 /// Updates that are due now.
 #[derive(Debug, Default)]
-pub struct Due {
+pub struct DueRateLimits {
     /// To gateways of the failure domain.
     pub near: Vec<RateLimitUpdate>,
     /// To other failure domains.
@@ -90,8 +90,8 @@
         let is_due =
             known.is_none_or(|k| now.saturating_duration_since(k.announced) >= REFRESH_INTERVAL);
         let pending = match known.and_then(|k| k.pending) {
-            _ if is_changed => Some(Announcement::repeated(now, Reach::Everywhere)),
-            None if is_due => Some(Announcement::once(now, Reach::Everywhere)),
+            _ if is_changed => Some(Announcement::repeated(now, Scope::Everywhere)),
+            None if is_due => Some(Announcement::once(now, Scope::Everywhere)),
             pending => pending,
         };
         let known = Known {
@@ -112,7 +112,7 @@
     pub(crate) fn receive(
         &mut self,
         update: RateLimitUpdate,
-        relay_to: Option<Reach>,
+        relay_to: Option<Scope>,
         now: Instant,
     ) -> bool {
         let known = self.known.get(&update.life).copied();
@@ -126,15 +126,15 @@
             per_1000_s: update.per_1000_s,
             at,
             announced: now,
-            pending: relay_to.map(|reach| Announcement::once(now, reach)),
+            pending: relay_to.map(|scope| Announcement::once(now, scope)),
         };
         self.known.insert(update.life, known);
         was_limited && update.per_1000_s.is_none()
     }
 
     /// Takes the updates that are due.
-    pub(crate) fn due(&mut self, now: Instant) -> Due {
-        let mut due = Due::default();
+    pub(crate) fn due(&mut self, now: Instant) -> DueRateLimits {
+        let mut due = DueRateLimits::default();
         for (life, known) in &mut self.known {
             let Some(pending) = known.pending else {
                 continue;
@@ -142,7 +142,7 @@
             if pending.due <= now {
                 let update = known.update(*life, now);
                 due.near.push(update);
-                if pending.reach == Reach::Everywhere {
+                if pending.scope == Scope::Everywhere {
                     due.far.push(update);
                 }
                 known.announced = now;
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -26,7 +26,7 @@
 use crate::record::{Ending, Record};
 use crate::send::{Answer, Sent, patience, report, send};
 use crate::spans::Span;
-use crate::suspects::permitted;
+use crate::suspects::wait_until_permitted;
 use crate::upstream::{Health, Slot, Upstream};
 
 /// How long a stream that is to go on waits for an upstream with room.
@@ -220,7 +220,7 @@
                     return Ok(Some(bytes));
                 }
                 Next::End => {
-                    self.stream.cx.suspects.finished(&self.stream.job);
+                    self.stream.cx.suspects.record_completion(&self.stream.job);
                     let status = self.stream.head.status.as_u16();
                     self.record.ending = Ending::Answered(status);
                     return Ok(None);
@@ -273,14 +273,14 @@
             cx, job, service, ..
         } = &self.stream;
         let suspect = |_| "upstreams ended under it";
-        let care = permitted(cx, job).await.map_err(suspect)?;
+        let care = wait_until_permitted(cx, job).await.map_err(suspect)?;
         let until = (clock::now() + RESUME_WAIT).min(job.deadline);
         let slot = slot(cx, job, service, &self.tried, care, until).await;
         let mut slot = slot.map_err(|_| "no upstream can go on")?;
         // What is known of it may have changed while it waited.
         slot.trial = cx
             .suspects
-            .begin(job, slot.upstream().addr)
+            .begin_trial(job, slot.upstream().addr)
             .await
             .map_err(suspect)?;
         Ok(slot)
--- a/crates/gateway/src/release.rs
+++ b/crates/gateway/src/release.rs
@@ -48,7 +48,7 @@
 
     /// Takes what the platform's store says of releases. A higher version that is known already stays, see
     /// [`ReleaseList::merge`].
-    pub fn take(&self, list: ReleaseList, now: Instant) {
+    pub fn apply(&self, list: ReleaseList, now: Instant) {
         let mut first = self.first.lock().unwrap_or_else(PoisonError::into_inner);
         let bound = match std::mem::take(&mut *first) {
             true => self.contact_time.min(self.version_time),
@@ -105,7 +105,7 @@
     }
 
     /// Oldest version that may begin requests now.
-    pub fn oldest(&self, model: &Model, now: Instant) -> WeightsVersion {
+    pub fn oldest_allowed(&self, model: &Model, now: Instant) -> WeightsVersion {
         let releases = self.releases.lock().unwrap_or_else(PoisonError::into_inner);
         let due = |r: &&Until| r.until <= now;
         let newest_due = releases
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -78,7 +78,7 @@
     if within.is_zero() {
         return Sent::Unreached("the time to begin it is over".to_owned());
     }
-    if cx.drains.has(&upstream.domain) {
+    if cx.drains.contains(&upstream.domain) {
         return Sent::Unreached("its failure domain was drained meanwhile".to_owned());
     }
     if let Some(why) = declines(cx, upstream) {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -14,14 +14,14 @@
 use web::{Bounds, Request, Response, text};
 
 use crate::Cx;
-use crate::announce::announce;
-use crate::confirm::before_passing_on;
-use crate::gauges::gauges;
+use crate::confirm::confirm_before_serving;
+use crate::gauges::update_gauges;
 use crate::gossip::listen;
 use crate::handle::handle;
 use crate::introduction;
-use crate::spread::spread;
-use crate::tell::{pass_changes_on, release, tell, tell_domain};
+use crate::load_updates::{relay_changes, send_domain_updates, send_releases, send_updates};
+use crate::rate_limit_updates::send_rate_limits;
+use crate::suspect_updates::send_suspects;
 
 /// Log prefix of this part.
 const PART: &str = "serve";
@@ -67,18 +67,18 @@
                 if req.uri().path() == introduction::PATH {
                     return cx.introductions.serve(req).await;
                 }
-                before_passing_on(&cx, &req).await;
+                confirm_before_serving(&cx, &req).await;
                 mirror::serve(&cx.mirror, &cx.documents, &req).await
             }
         },
     ));
-    tokio::spawn(gauges(cx.clone()));
-    tokio::spawn(tell(cx.clone(), beacon.clone()));
-    tokio::spawn(pass_changes_on(cx.clone(), beacon.clone()));
-    tokio::spawn(tell_domain(cx.clone(), beacon.clone()));
-    tokio::spawn(release(cx.clone(), beacon.clone()));
-    tokio::spawn(spread(cx.clone(), beacon.clone()));
-    tokio::spawn(announce(cx.clone(), beacon.clone()));
+    tokio::spawn(update_gauges(cx.clone()));
+    tokio::spawn(send_updates(cx.clone(), beacon.clone()));
+    tokio::spawn(relay_changes(cx.clone(), beacon.clone()));
+    tokio::spawn(send_domain_updates(cx.clone(), beacon.clone()));
+    tokio::spawn(send_releases(cx.clone(), beacon.clone()));
+    tokio::spawn(send_suspects(cx.clone(), beacon.clone()));
+    tokio::spawn(send_rate_limits(cx.clone(), beacon.clone()));
     tokio::spawn(listen(cx.clone(), beacon));
     serve_callers(&cx, front).await;
     own_stop.send_replace(true);
--- a/crates/gateway/src/spread.rs
+++ b/crates/gateway/src/suspect_updates.rs
@@ -13,8 +13,8 @@
 use beacon::{Beacon, Msg, SuspectNote, packed};
 
 use crate::Cx;
-use crate::loads::relays;
-use crate::tell::near_gateways;
+use crate::load_updates::near_gateways;
+use crate::loads::receiver_per_domain;
 
 /// Time in which news is gathered: what ran at one upstream breaks off within it.
 const GATHER_TIME: Duration = Duration::from_millis(3);
@@ -33,7 +33,7 @@
 const MOST_RENEWED: usize = 2 * MOST_FAR;
 
 /// Tells news, and now and then what is known.
-pub(crate) async fn spread(cx: Arc<Cx>, beacon: Beacon) {
+pub(crate) async fn send_suspects(cx: Arc<Cx>, beacon: Beacon) {
     let mut number = 0;
     let mut renewed = clock::now();
     let mut next = None;
@@ -47,7 +47,7 @@
         if now >= renewed + RENEW_INTERVAL {
             renewed = now;
             if cx.loads.rank(&cx.cfg.node.vm, now) == 0 {
-                let all = cx.suspects.gravest(MOST_RENEWED);
+                let all = cx.suspects.most_severe(MOST_RENEWED);
                 send(&cx, &beacon, all.clone(), all, SUSPECTS, number);
             }
         }
@@ -68,17 +68,17 @@
 }
 
 async fn gathered(cx: &Cx) {
-    cx.suspects.news.arrived().await;
+    cx.suspects.pending.changed().await;
     tokio::time::sleep(GATHER_TIME).await;
 }
 
 /// Messages that hold items for gateways of the own failure domain, and for those of others.
-pub(crate) struct Messages<T> {
+pub(crate) struct MessageKinds<T> {
     pub(crate) near: fn(Vec<T>) -> Msg,
     pub(crate) far: fn(Vec<T>) -> Msg,
 }
 
-const SUSPECTS: Messages<SuspectNote> = Messages {
+const SUSPECTS: MessageKinds<SuspectNote> = MessageKinds {
     near: Msg::Suspects,
     far: Msg::FarSuspects,
 };
@@ -90,7 +90,7 @@
     beacon: &Beacon,
     near: Vec<T>,
     far: Vec<T>,
-    messages: Messages<T>,
+    messages: MessageKinds<T>,
     number: u64,
 ) {
     if near.is_empty() {
@@ -111,7 +111,7 @@
     let domains = cx.peers.borrow().far_gateways.clone();
     let first = number * FAR_RECEIVERS;
     let mut to: Vec<SocketAddr> = (first..first + FAR_RECEIVERS)
-        .flat_map(|n| relays(&domains, n))
+        .flat_map(|n| receiver_per_domain(&domains, n))
         .collect();
     to.sort_unstable();
     to.dedup();
@@ -119,8 +119,8 @@
 }
 
 /// Tells a gateway that has just started what is known.
-pub(crate) fn greet(cx: &Cx, beacon: &Beacon, starter: SocketAddr) {
-    for msg in packed(cx.suspects.gravest(MOST_RENEWED), Msg::Suspects) {
+pub(crate) fn sync_suspects(cx: &Cx, beacon: &Beacon, starter: SocketAddr) {
+    for msg in packed(cx.suspects.most_severe(MOST_RENEWED), Msg::Suspects) {
         beacon.send(&msg, [starter]);
     }
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -2,7 +2,7 @@
 //!
 //! [`decide::quarantine`] judges them. Whatever sends a request on asks here first, before it waits for a slot
 //! and again as it has one: the first try, one after an answer was lost, and a stream that goes on elsewhere.
-//! [`crate::spread`] tells other gateways.
+//! [`crate::suspect_updates`] tells other gateways.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,8 +16,8 @@
 use tokio::sync::watch;
 
 use crate::Cx;
+use crate::announcements::{DueSuspects, PendingUpdates, Scope, case_from_update, suspect_update};
 use crate::call::Job;
-use crate::news::{Due, News, Reach, case, note};
 use crate::refusal::Refusal;
 use crate::unconfirmed::{UnconfirmedEnd, UnconfirmedEnds};
 use crate::upstream::Upstream;
@@ -57,7 +57,7 @@
     quarantine: Mutex<Quarantine>,
     unconfirmed: UnconfirmedEnds,
     /// What other gateways are to be told.
-    pub(crate) news: News,
+    pub(crate) pending: PendingUpdates,
     /// Told when a request is held back, or no more.
     changed: watch::Sender<()>,
     /// Requests that this gateway found are to be held back, and that aren't stored yet.
@@ -68,20 +68,20 @@
 
 /// The run of a suspect; over when dropped.
 #[derive(Debug)]
-pub struct Trial {
+pub struct TrialGuard {
     suspects: Arc<Suspects>,
     request: Fingerprint,
     number: u32,
     upstream: SocketAddr,
 }
 
-impl Drop for Trial {
+impl Drop for TrialGuard {
     fn drop(&mut self) {
         let mut quarantine = self.suspects.quarantine();
         let was_under_way = quarantine.release(&self.request, self.number, self.upstream);
         drop(quarantine);
         if was_under_way {
-            self.suspects.news.tell(self.request, Reach::Everywhere);
+            self.suspects.pending.add(self.request, Scope::Everywhere);
         }
     }
 }
@@ -92,7 +92,7 @@
         Suspects {
             quarantine: Mutex::new(Quarantine::new(hold_time)),
             unconfirmed: UnconfirmedEnds::default(),
-            news: News::default(),
+            pending: PendingUpdates::default(),
             changed: watch::Sender::new(()),
             own: Mutex::default(),
             known: watch::Sender::new(false),
@@ -115,17 +115,17 @@
     }
 
     /// Upstreams where suspects are being tried.
-    pub(crate) fn trials(&self, now: Instant) -> Vec<SocketAddr> {
+    pub(crate) fn active_trials(&self, now: Instant) -> Vec<SocketAddr> {
         self.quarantine().trials(now)
     }
 
     /// Begins a trial where the request is a suspect; refused where it may not be tried now. It's announced
     /// first: of several that begin in one moment one goes on.
-    pub(crate) async fn begin(
+    pub(crate) async fn begin_trial(
         self: &Arc<Suspects>,
         job: &Job,
         upstream: SocketAddr,
-    ) -> Result<Option<Trial>, Refusal> {
+    ) -> Result<Option<TrialGuard>, Refusal> {
         if self.verdict(job) == Verdict::Free {
             return Ok(None);
         }
@@ -134,13 +134,13 @@
         let Some(number) = begun else {
             return Err(refusal(self.verdict(job)));
         };
-        let trial = Trial {
+        let trial = TrialGuard {
             suspects: self.clone(),
             request,
             number,
             upstream,
         };
-        self.news.tell(request, Reach::Everywhere);
+        self.pending.add(request, Scope::Everywhere);
         tokio::time::sleep(ANNOUNCE_TIME).await;
         let goes_on = self.quarantine().is_under_way(&request, number, upstream);
         match goes_on {
@@ -150,7 +150,7 @@
     }
 
     /// Notes that an answer was lost; whether its upstream ended may show later.
-    pub(crate) fn lost_answer(&self, job: &Job, upstream: &Upstream) {
+    pub(crate) fn record_lost_response(&self, job: &Job, upstream: &Upstream) {
         self.unconfirmed.add(UnconfirmedEnd {
             request: job.fingerprint(),
             upstream: upstream.addr,
@@ -160,14 +160,14 @@
 
     /// Takes which upstreams live: those that aren't among them have ended, also under requests whose answer
     /// was lost before.
-    pub fn lives(&self, lives: &Set<LifeId>) {
+    pub fn confirm_exits(&self, lives: &Set<LifeId>) {
         for ended in self.unconfirmed.confirmed(lives, clock::now()) {
             self.note_end(ended.request, ended.upstream, ended.end, "-", "-");
         }
     }
 
     /// Notes that an upstream ended while it had a request.
-    pub(crate) fn ended(&self, job: &Job, upstream: &Upstream) {
+    pub(crate) fn record_exit(&self, job: &Job, upstream: &Upstream) {
         let workspace = job.tenant.as_ref().map_or("-", |t| &t.workspace);
         let (request, end) = (job.fingerprint(), end_of(upstream));
         self.note_end(request, upstream.addr, end, &job.route.name, workspace);
@@ -188,7 +188,7 @@
         let ends = quarantine.case(&request).map_or(0, |c| c.ends.len());
         drop(quarantine);
         if is_news {
-            self.news.tell(request, Reach::Everywhere);
+            self.pending.add(request, Scope::Everywhere);
         }
         if is_held && is_news {
             info!(target: PART, "{PART}: event=held request={request} ends={ends} route={route} workspace={workspace}");
@@ -199,7 +199,7 @@
     }
 
     /// Notes that a request ran to its end.
-    pub(crate) fn finished(&self, job: &Job) {
+    pub(crate) fn record_completion(&self, job: &Job) {
         let now = clock::now();
         self.unconfirmed.forget(|| job.fingerprint());
         let mut quarantine = self.quarantine();
@@ -209,7 +209,7 @@
         let request = job.fingerprint();
         if quarantine.finished(&request, now) {
             drop(quarantine);
-            self.news.tell(request, Reach::Everywhere);
+            self.pending.add(request, Scope::Everywhere);
             self.changed.send_replace(());
         }
     }
@@ -222,14 +222,14 @@
         drop(quarantine);
         if cleared {
             info!(target: PART, "{PART}: event=cleared request={request}");
-            self.news.tell(*request, Reach::Everywhere);
+            self.pending.add(*request, Scope::Everywhere);
             self.changed.send_replace(());
         }
     }
 
-    /// Takes what another gateway tells; `reach` says whom what is news is passed on to, if anyone. Gives the
+    /// Takes what another gateway tells; `scope` says whom what is news is passed on to, if anyone. Gives the
     /// lives of upstreams that ended just now, as far as that is news.
-    pub fn hear(&self, notes: Vec<SuspectNote>, reach: Option<Reach>) -> Vec<LifeId> {
+    pub fn receive(&self, notes: Vec<SuspectNote>, scope: Option<Scope>) -> Vec<LifeId> {
         let now = clock::now();
         let mut ended = Vec::new();
         for note in notes {
@@ -238,14 +238,14 @@
             let lately: Vec<LifeId> = lately.map(|(life, _)| *life).collect();
             let mut quarantine = self.quarantine();
             let was_held = quarantine.is_held(&request, now);
-            let is_news = quarantine.merge(request, case(note, now));
+            let is_news = quarantine.merge(request, case_from_update(note, now));
             let is_held = quarantine.is_held(&request, now);
             drop(quarantine);
             if is_news {
                 ended.extend(lately);
             }
-            if let Some(reach) = reach.filter(|_| is_news) {
-                self.news.tell(request, reach);
+            if let Some(scope) = scope.filter(|_| is_news) {
+                self.pending.add(request, scope);
             }
             if was_held != is_held {
                 info!(target: PART, "{PART}: event=heard request={request} held={is_held}");
@@ -256,18 +256,20 @@
     }
 
     /// What is to be told now, at most so many cases to other failure domains; and when more is.
-    pub(crate) fn due(&self, now: Instant, most_far: usize) -> (Due, Option<Instant>) {
+    pub(crate) fn due(&self, now: Instant, most_far: usize) -> (DueSuspects, Option<Instant>) {
         let mut quarantine = self.quarantine();
         quarantine.forget(now);
-        self.news.due(&quarantine, now, most_far)
+        self.pending.due(&quarantine, now, most_far)
     }
 
     /// All that something is held against, the gravest first, at most so many.
-    pub(crate) fn gravest(&self, most: usize) -> Vec<SuspectNote> {
+    pub(crate) fn most_severe(&self, most: usize) -> Vec<SuspectNote> {
         let now = clock::now();
         let quarantine = self.quarantine();
         let gravest = quarantine.gravest().into_iter().take(most);
-        gravest.map(|(r, case)| note(r, case, now)).collect()
+        gravest
+            .map(|(r, case)| suspect_update(r, case, now))
+            .collect()
     }
 
     /// Told when a request is held back, or no more.
@@ -276,12 +278,12 @@
     }
 
     /// Requests that are held back now.
-    pub fn held(&self) -> Vec<SuspectNote> {
+    pub fn quarantined(&self) -> Vec<SuspectNote> {
         let now = clock::now();
         let quarantine = self.quarantine();
         let gravest = quarantine.gravest().into_iter();
         let held = gravest.filter(|(r, _)| quarantine.is_held(r, now));
-        held.map(|(r, case)| note(r, case, now)).collect()
+        held.map(|(r, case)| suspect_update(r, case, now)).collect()
     }
 
     fn own(&self) -> MutexGuard<'_, Set<Fingerprint>> {
@@ -289,17 +291,17 @@
     }
 
     /// Whether this gateway found that a request is to be held back, and hasn't stored it.
-    pub fn is_own(&self, request: &Fingerprint) -> bool {
+    pub fn is_store_pending(&self, request: &Fingerprint) -> bool {
         self.own().contains(request)
     }
 
     /// Notes that such a request is stored.
-    pub fn stored(&self, request: &Fingerprint) {
+    pub fn mark_stored(&self, request: &Fingerprint) {
         self.own().remove(request);
     }
 
     /// Notes that what the store has of such requests is known.
-    pub fn learned(&self) {
+    pub fn mark_loaded(&self) {
         self.known.send_replace(true);
     }
 
@@ -332,7 +334,7 @@
 }
 
 /// Waits until a request may be sent on; with which care, where upstreams ended under it.
-pub(crate) async fn permitted(cx: &Cx, job: &Job) -> Result<Option<Care>, Refusal> {
+pub(crate) async fn wait_until_permitted(cx: &Cx, job: &Job) -> Result<Option<Care>, Refusal> {
     cx.suspects.wait_known(cx).await;
     if cx.suspects.is_empty() {
         return Ok(None);
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -11,7 +11,7 @@
 use decide::outcomes::{Counts, Outcomes};
 use tokio::sync::Notify;
 
-use crate::suspects::Trial;
+use crate::suspects::TrialGuard;
 
 /// Incarnation of an upstream, as the platform names it.
 pub type InstanceId = String;
@@ -390,7 +390,7 @@
     unread: u64,
     told: Told,
     /// Held while it is a suspect's.
-    pub(crate) trial: Option<Trial>,
+    pub(crate) trial: Option<TrialGuard>,
 }
 
 impl Slot {
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -76,11 +76,14 @@
 fn older_versions_may_begin_requests_until_shortly_before_the_bound() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
-    releases.take(list(0, &[]), now);
-    releases.take(list(1, &[2]), now);
+    releases.apply(list(0, &[]), now);
+    releases.apply(list(1, &[2]), now);
 
-    assert_eq!(releases.oldest(&model(), now + Duration::from_secs(5)), 0);
-    assert_eq!(releases.oldest(&model(), now + VERSION_TIME), 2);
+    assert_eq!(
+        releases.oldest_allowed(&model(), now + Duration::from_secs(5)),
+        0
+    );
+    assert_eq!(releases.oldest_allowed(&model(), now + VERSION_TIME), 2);
     let until = releases.may_begin_until(&model(), 1).expect("a bound");
     assert!(until < now + VERSION_TIME && until > now + Duration::from_secs(6));
     assert_eq!(releases.may_begin_until(&model(), 2), None);
@@ -90,13 +93,13 @@
 fn each_release_counts_from_its_own_time() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
-    releases.take(list(0, &[]), now);
-    releases.take(list(1, &[2]), now);
-    releases.take(list(2, &[3]), now + Duration::from_secs(4));
+    releases.apply(list(0, &[]), now);
+    releases.apply(list(1, &[2]), now);
+    releases.apply(list(2, &[3]), now + Duration::from_secs(4));
 
-    assert_eq!(releases.oldest(&model(), now + VERSION_TIME), 2);
+    assert_eq!(releases.oldest_allowed(&model(), now + VERSION_TIME), 2);
     let later = now + VERSION_TIME + Duration::from_secs(4);
-    assert_eq!(releases.oldest(&model(), later), 3);
+    assert_eq!(releases.oldest_allowed(&model(), later), 3);
 }
 
 #[test]
@@ -104,9 +107,9 @@
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
 
-    releases.take(list(1, &[2]), now);
+    releases.apply(list(1, &[2]), now);
 
-    assert_eq!(releases.oldest(&model(), now + CONTACT_TIME), 2);
+    assert_eq!(releases.oldest_allowed(&model(), now + CONTACT_TIME), 2);
 }
 
 #[test]
@@ -188,10 +191,10 @@
 fn a_version_that_was_released_is_not_taken_back_by_a_late_write_of_an_older_one() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
-    releases.take(list(1, &[2]), now);
-    releases.take(list(2, &[3]), now);
+    releases.apply(list(1, &[2]), now);
+    releases.apply(list(2, &[3]), now);
 
-    releases.take(list(3, &[2]), now);
+    releases.apply(list(3, &[2]), now);
 
     let newest = releases.newest().borrow().releases.clone();
     assert_eq!(newest, list(2, &[3]).releases);
@@ -201,17 +204,17 @@
 fn a_version_that_an_engine_holds_was_released_whatever_the_store_says() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
-    releases.take(list(1, &[2]), now);
+    releases.apply(list(1, &[2]), now);
 
     releases.observe(&model(), 3, now);
 
     assert_eq!(releases.newest().borrow().version(&model()), Some(3));
     assert_eq!(
-        releases.oldest(&model(), now),
+        releases.oldest_allowed(&model(), now),
         0,
         "older ones go on for a while"
     );
-    assert_eq!(releases.oldest(&model(), now + CONTACT_TIME), 3);
+    assert_eq!(releases.oldest_allowed(&model(), now + CONTACT_TIME), 3);
 }
 
 #[test]
@@ -226,7 +229,7 @@
 #[test]
 fn who_knows_less_is_told_whatever_its_revision() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
-    releases.take(list(9, &[3]), Instant::now());
+    releases.apply(list(9, &[3]), Instant::now());
 
     let behind = releases.newer_than(&list(9, &[2]).releases);
     let level = releases.newer_than(&list(1, &[3]).releases);
@@ -246,11 +249,11 @@
         let now = Instant::now();
 
         for (revision, version) in &heard {
-            releases.take(list(*revision, &[*version]), now);
+            releases.apply(list(*revision, &[*version]), now);
         }
 
         let highest = heard.iter().map(|(_, version)| *version).max();
         prop_assert_eq!(releases.newest().borrow().version(&model()), highest);
-        prop_assert_eq!(releases.oldest(&model(), now + VERSION_TIME), highest.unwrap_or(0));
+        prop_assert_eq!(releases.oldest_allowed(&model(), now + VERSION_TIME), highest.unwrap_or(0));
     }
 }
--- a/crates/gateway/tests/feedback.rs
+++ b/crates/gateway/tests/feedback.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use beacon::RateLimitUpdate;
+use gateway::announcements::Scope;
 use gateway::call::{Advertised, Reply};
 use gateway::feedback::Feedback;
-use gateway::news::Reach;
 use gateway::upstream::{Listed, Upstream};
 
 fn upstream() -> Upstream {
@@ -154,9 +154,9 @@
     let (feedback, upstream, now) = (Feedback::default(), upstream(), Instant::now());
     let updates = vec![update(&upstream, Some(2000), Duration::ZERO)];
 
-    feedback.receive(updates.clone(), Some(Reach::Near), now);
+    feedback.receive(updates.clone(), Some(Scope::Near), now);
     let first = feedback.due(now);
-    feedback.receive(updates, Some(Reach::Near), now);
+    feedback.receive(updates, Some(Scope::Near), now);
     let second = feedback.due(now);
 
     assert_eq!((first.near.len(), first.far.len()), (1, 0));
@@ -174,9 +174,9 @@
     );
     let later = start + 3600 * SECOND;
 
-    feedback.forget(&[upstream.life].into_iter().collect(), later);
+    feedback.purge(&[upstream.life].into_iter().collect(), later);
     assert_eq!(rate(&feedback, &upstream), Some(2.0));
 
-    feedback.forget(&base::Set::default(), later);
+    feedback.purge(&base::Set::default(), later);
     assert_eq!(rate(&feedback, &upstream), None);
 }
--- a/crates/gateway/tests/loads.rs
+++ b/crates/gateway/tests/loads.rs
@@ -6,8 +6,8 @@
 use base::Map;
 use beacon::{Load, LoadChange, LoadNote, MAX_DATAGRAM, Msg, packed};
 use decide::outcomes::Outcomes;
-use gateway::loads::{LoadBook, largest, relays};
-use gateway::tell::{Passed, Told};
+use gateway::load_updates::{PublishedLoads, RelayedLoads};
+use gateway::loads::{LoadTable, largest_loads, receiver_per_domain};
 use proptest::prelude::*;
 
 fn upstream(n: u16) -> SocketAddr {
@@ -42,42 +42,42 @@
 
 #[test]
 fn others_are_the_gateways_of_the_domain_and_the_sums_of_the_others() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
 
-    book.take(note("b", "recife", 1, vec![load(1, 2, 700)]), now);
-    book.take(
+    book.apply_update(note("b", "recife", 1, vec![load(1, 2, 700)]), now);
+    book.apply_update(
         note("c", "recife", 1, vec![load(1, 1, 0), load(2, 4, 0)]),
         now,
     );
-    book.take_domain(note("x", "fortaleza", 1, vec![load(1, 3, 100)]), now);
+    book.apply_domain_update(note("x", "fortaleza", 1, vec![load(1, 3, 100)]), now);
 
-    let others = book.others(&upstream(1));
+    let others = book.peer_load(&upstream(1));
     assert_eq!((others.requests, others.unread), (6, 800));
-    assert_eq!(book.others(&upstream(2)).requests, 4);
-    assert_eq!(book.others(&upstream(3)).requests, 0);
+    assert_eq!(book.peer_load(&upstream(2)).requests, 4);
+    assert_eq!(book.peer_load(&upstream(3)).requests, 0);
 }
 
 #[test]
 fn the_sum_of_the_domain_holds_what_is_in_flight_in_it_and_nothing_of_others() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    book.take(note("b", "recife", 1, vec![load(1, 2, 700)]), now);
-    book.take_domain(note("x", "fortaleza", 1, vec![load(1, 9, 0)]), now);
+    book.apply_update(note("b", "recife", 1, vec![load(1, 2, 700)]), now);
+    book.apply_domain_update(note("x", "fortaleza", 1, vec![load(1, 9, 0)]), now);
 
-    let sum = book.domain(&[load(1, 1, 50)]);
+    let sum = book.domain_loads(&[load(1, 1, 50)]);
 
     assert_eq!(sum, vec![load(1, 3, 750)]);
 }
 
 #[test]
 fn rank_is_by_vm_among_those_of_the_domain_heard_lately() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
     let later = now + Duration::from_millis(1100);
-    book.take(note("b", "recife", 1, Vec::new()), now);
-    book.take(note("d", "recife", 1, Vec::new()), now);
-    book.take_domain(note("a", "fortaleza", 1, Vec::new()), now);
+    book.apply_update(note("b", "recife", 1, Vec::new()), now);
+    book.apply_update(note("d", "recife", 1, Vec::new()), now);
+    book.apply_domain_update(note("a", "fortaleza", 1, Vec::new()), now);
 
     assert_eq!(book.rank(&"a".to_owned(), now), 0);
     assert_eq!(book.rank(&"c".to_owned(), now), 1, "b is before it");
@@ -86,28 +86,28 @@
 
 #[test]
 fn the_sum_of_another_gateway_replaces_the_one_before() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    book.take_domain(note("y", "fortaleza", 90, vec![load(1, 9, 0)]), now);
+    book.apply_domain_update(note("y", "fortaleza", 90, vec![load(1, 9, 0)]), now);
 
-    book.take_domain(note("x", "fortaleza", 1, vec![load(1, 2, 0)]), now);
+    book.apply_domain_update(note("x", "fortaleza", 1, vec![load(1, 2, 0)]), now);
 
-    assert_eq!(book.others(&upstream(1)).requests, 2);
+    assert_eq!(book.peer_load(&upstream(1)).requests, 2);
 }
 
 #[test]
 fn an_older_note_of_the_same_gateway_is_passed_over_until_the_newer_one_is_out_of_date() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    book.take(note("b", "recife", 7, vec![load(1, 7, 0)]), now);
+    book.apply_update(note("b", "recife", 7, vec![load(1, 7, 0)]), now);
 
-    book.take(note("b", "recife", 6, vec![load(1, 6, 0)]), now);
-    let at_once = book.others(&upstream(1)).requests;
+    book.apply_update(note("b", "recife", 6, vec![load(1, 6, 0)]), now);
+    let at_once = book.peer_load(&upstream(1)).requests;
     let later = now + Duration::from_millis(1500);
-    book.take(note("b", "recife", 6, vec![load(1, 6, 0)]), later);
+    book.apply_update(note("b", "recife", 6, vec![load(1, 6, 0)]), later);
 
     assert_eq!(at_once, 7);
-    assert_eq!(book.others(&upstream(1)).requests, 6);
+    assert_eq!(book.peer_load(&upstream(1)).requests, 6);
 }
 
 #[test]
@@ -120,7 +120,7 @@
     };
     let loads: Vec<Load> = (0..200).map(busy).collect();
 
-    let kept = largest(loads);
+    let kept = largest_loads(loads);
 
     assert!(kept.len() < 200);
     assert!(kept.iter().any(|l| l.requests == 199));
@@ -131,7 +131,7 @@
 
 #[test]
 fn failures_of_all_gateways_count_together() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
     let fared = |failed, answered| Load {
         failed,
@@ -139,13 +139,13 @@
         ..load(1, 0, 0)
     };
 
-    book.take(note("b", "recife", 1, vec![fared(1, 0)]), now);
-    let few = book.others(&upstream(1)).ended;
-    book.take(note("c", "recife", 1, vec![fared(1, 1)]), now);
-    book.take_domain(note("x", "fortaleza", 1, vec![fared(2, 0)]), now);
-    let most = book.others(&upstream(1)).ended;
-    book.take_domain(note("y", "salvador", 1, vec![fared(0, 6)]), now);
-    let some = book.others(&upstream(1)).ended;
+    book.apply_update(note("b", "recife", 1, vec![fared(1, 0)]), now);
+    let few = book.peer_load(&upstream(1)).outcomes;
+    book.apply_update(note("c", "recife", 1, vec![fared(1, 1)]), now);
+    book.apply_domain_update(note("x", "fortaleza", 1, vec![fared(2, 0)]), now);
+    let most = book.peer_load(&upstream(1)).outcomes;
+    book.apply_domain_update(note("y", "salvador", 1, vec![fared(0, 6)]), now);
+    let some = book.peer_load(&upstream(1)).outcomes;
 
     assert!(!few.is_failing(), "{few:?}");
     assert!(most.is_failing(), "{most:?}");
@@ -169,7 +169,7 @@
 fn notes_go_to_the_gateways_of_each_other_failure_domain_in_turn() {
     let far = [vec![upstream(1), upstream(2)], vec![upstream(3)], vec![]];
 
-    let to: Vec<_> = (0..4).map(|note| relays(&far, note)).collect();
+    let to: Vec<_> = (0..4).map(|note| receiver_per_domain(&far, note)).collect();
 
     assert_eq!(to[0], [upstream(1), upstream(3)]);
     assert_eq!(to[1], [upstream(2), upstream(3)]);
@@ -188,28 +188,37 @@
 
 #[test]
 fn the_first_gateway_that_reaches_the_store_is_asked_what_the_store_has() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    book.take(reader("b", "recife", false, 1), now);
-    book.take(reader("c", "recife", true, 2), now);
-    book.take_domain(reader("x", "fortaleza", true, 3), now);
+    book.apply_update(reader("b", "recife", false, 1), now);
+    book.apply_update(reader("c", "recife", true, 2), now);
+    book.apply_domain_update(reader("x", "fortaleza", true, 3), now);
 
-    assert_eq!(book.reader(&"d".to_owned(), true, now), Some(upstream(2)));
-    assert_eq!(book.reader(&"a".to_owned(), true, now), None);
-    assert_eq!(book.reader(&"a".to_owned(), false, now), Some(upstream(2)));
+    assert_eq!(
+        book.store_reader(&"d".to_owned(), true, now),
+        Some(upstream(2))
+    );
+    assert_eq!(book.store_reader(&"a".to_owned(), true, now), None);
+    assert_eq!(
+        book.store_reader(&"a".to_owned(), false, now),
+        Some(upstream(2))
+    );
 }
 
 #[test]
 fn another_failure_domain_is_asked_only_where_nobody_here_reaches_the_store() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    book.take(reader("b", "recife", false, 1), now);
-    book.take_domain(reader("x", "fortaleza", true, 3), now);
+    book.apply_update(reader("b", "recife", false, 1), now);
+    book.apply_domain_update(reader("x", "fortaleza", true, 3), now);
 
-    assert_eq!(book.reader(&"c".to_owned(), false, now), Some(upstream(3)));
-    assert_eq!(book.reader(&"c".to_owned(), true, now), None);
+    assert_eq!(
+        book.store_reader(&"c".to_owned(), false, now),
+        Some(upstream(3))
+    );
+    assert_eq!(book.store_reader(&"c".to_owned(), true, now), None);
     let later = now + Duration::from_secs(60);
-    assert_eq!(book.reader(&"c".to_owned(), false, later), None);
+    assert_eq!(book.store_reader(&"c".to_owned(), false, later), None);
 }
 
 /// What users saw: after an outage of the store a change of 10,000 routes took up to 9 s. Each gateway of a
@@ -218,10 +227,10 @@
 /// showed a whole read each, of which one was newer.
 #[test]
 fn while_nobody_reaches_the_store_the_gateways_of_a_failure_domain_differ_in_rank() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    book.take(reader("b", "recife", false, 1), now);
-    book.take(reader("c", "recife", false, 2), now);
+    book.apply_update(reader("b", "recife", false, 1), now);
+    book.apply_update(reader("c", "recife", false, 2), now);
 
     let ranks = ["a", "d"].map(|own| book.store_rank(&own.to_owned(), false, now));
 
@@ -230,11 +239,11 @@
 
 #[test]
 fn of_gateways_that_reach_the_store_those_that_do_not_take_no_place() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    book.take(reader("b", "recife", false, 1), now);
+    book.apply_update(reader("b", "recife", false, 1), now);
     let alone = book.store_rank(&"d".to_owned(), true, now);
-    book.take(reader("c", "recife", true, 2), now);
+    book.apply_update(reader("c", "recife", true, 2), now);
 
     assert_eq!(alone, 0);
     assert_eq!(book.store_rank(&"d".to_owned(), true, now), 1);
@@ -252,32 +261,32 @@
 }
 
 /// Requests of others at some upstreams.
-fn requests(book: &LoadBook, upstreams: std::ops::Range<u16>) -> Vec<u32> {
-    let of = |n| book.others(&upstream(n)).requests;
+fn requests(book: &LoadTable, upstreams: std::ops::Range<u16>) -> Vec<u32> {
+    let of = |n| book.peer_load(&upstream(n)).requests;
     upstreams.map(of).collect()
 }
 
 #[test]
 fn a_change_that_is_passed_on_goes_in_place_of_what_its_gateway_told() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
     let own = "a".to_owned();
     let told = vec![load(1, 2, 700), load(2, 4, 0)];
-    book.take(note("b", "recife", 7, told), now);
+    book.apply_update(note("b", "recife", 7, told), now);
 
     let changed = vec![load(1, 3, 0), load(2, 0, 0), load(3, 1, 0)];
-    book.take_changes(&own, vec![change("b", 8, changed)], now);
+    book.apply_changes(&own, vec![change("b", 8, changed)], now);
 
     assert_eq!(requests(&book, 1..4), [3, 0, 1]);
-    assert_eq!(book.others(&upstream(1)).unread, 0);
+    assert_eq!(book.peer_load(&upstream(1)).unread, 0);
 }
 
 #[test]
 fn changes_that_are_older_of_a_former_life_unknown_or_the_own_are_passed_over() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
     let own = "a".to_owned();
-    book.take(note("b", "recife", 7, vec![load(1, 2, 0)]), now);
+    book.apply_update(note("b", "recife", 7, vec![load(1, 2, 0)]), now);
     let former = LoadChange {
         incarnation: 4,
         ..change("b", 9, vec![load(1, 9, 0)])
@@ -289,18 +298,18 @@
         change("c", 8, vec![load(1, 9, 0)]),
         change("a", 8, vec![load(1, 9, 0)]),
     ];
-    book.take_changes(&own, changes, now);
+    book.apply_changes(&own, changes, now);
 
     assert_eq!(requests(&book, 1..2), [2]);
 }
 
 #[test]
 fn whether_changes_are_passed_on_is_known_by_the_last_ones() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
     assert!(!book.is_relayed(now));
 
-    book.take_changes(&"a".to_owned(), Vec::new(), now);
+    book.apply_changes(&"a".to_owned(), Vec::new(), now);
 
     assert!(book.is_relayed(now));
     assert!(!book.is_relayed(now + Duration::from_millis(300)));
@@ -308,19 +317,19 @@
 
 #[test]
 fn the_first_gateways_heard_are_told_the_own_one_counting_among_them() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
     for vm in ["d", "b", "c"] {
-        book.take(note(vm, "recife", 1, Vec::new()), now);
+        book.apply_update(note(vm, "recife", 1, Vec::new()), now);
     }
 
-    assert_eq!(book.first(&"a".to_owned(), 2, now), ["b"]);
-    assert_eq!(book.first(&"e".to_owned(), 2, now), ["b", "c"]);
+    assert_eq!(book.leaders(&"a".to_owned(), 2, now), ["b"]);
+    assert_eq!(book.leaders(&"e".to_owned(), 2, now), ["b", "c"]);
 }
 
 #[test]
 fn only_what_has_changed_is_passed_on() {
-    let mut passed = Passed::default();
+    let mut passed = RelayedLoads::default();
     let now = Instant::now();
     let first = passed.changes(
         vec![change("b", 1, vec![load(1, 2, 0), load(2, 1, 0)])],
@@ -339,15 +348,15 @@
 
 #[test]
 fn a_gateway_of_which_nothing_changes_is_passed_on_as_up_now_and_then() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
     let later = now + Duration::from_millis(900);
-    book.take(note("b", "recife", 1, vec![load(1, 2, 0)]), now);
-    let mut passed = Passed::default();
+    book.apply_update(note("b", "recife", 1, vec![load(1, 2, 0)]), now);
+    let mut passed = RelayedLoads::default();
     passed.changes(vec![change("b", 1, vec![load(1, 2, 0)])], now);
 
     let again = passed.changes(vec![change("b", 3, vec![load(1, 2, 0)])], later);
-    book.take_changes(&"c".to_owned(), again.clone(), later);
+    book.apply_changes(&"c".to_owned(), again.clone(), later);
 
     assert_eq!(again, [change("b", 3, Vec::new())]);
     let after = later + Duration::from_millis(900);
@@ -394,9 +403,9 @@
         ..load(n, n + 1, 200_000)
     };
     let loads: Vec<Load> = (0..204).map(busy).collect();
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    let mut told = Told::default();
+    let mut told = PublishedLoads::default();
 
     for number in 1..=3 {
         let note = note(
@@ -407,7 +416,7 @@
         );
         let buf = beacon::encode(&Msg::DomainLoad(note.clone())).expect("a note");
         assert!(buf.len() <= MAX_DATAGRAM, "{}", buf.len());
-        book.take_domain(note, now);
+        book.apply_domain_update(note, now);
     }
 
     let all: Vec<u32> = (1..=204).collect();
@@ -416,7 +425,7 @@
 
 #[test]
 fn what_changed_most_is_told_first_and_what_is_gone_as_nothing() {
-    let mut told = Told::default();
+    let mut told = PublishedLoads::default();
     let many: Vec<Load> = (0..200).map(|n| load(n, 1, 0)).collect();
     (0..3).for_each(|_| drop(told.next(many.clone())));
     let mut now = many;
@@ -431,7 +440,7 @@
 
 #[test]
 fn what_was_told_longest_ago_comes_again_where_nothing_changes() {
-    let mut told = Told::default();
+    let mut told = PublishedLoads::default();
     let many: Vec<Load> = (0..200).map(|n| load(n, 1, 0)).collect();
     (0..3).for_each(|_| drop(told.next(many.clone())));
 
@@ -443,16 +452,16 @@
 
 #[test]
 fn the_sum_of_a_domain_goes_on_by_changes_until_another_gateway_tells_it() {
-    let book = LoadBook::default();
+    let book = LoadTable::default();
     let now = Instant::now();
-    book.take_domain(
+    book.apply_domain_update(
         note("x", "fortaleza", 1, vec![load(1, 3, 0), load(2, 2, 0)]),
         now,
     );
 
-    book.take_domain(note("x", "fortaleza", 2, vec![load(2, 5, 0)]), now);
+    book.apply_domain_update(note("x", "fortaleza", 2, vec![load(2, 5, 0)]), now);
     let goes_on = requests(&book, 1..3);
-    book.take_domain(note("y", "fortaleza", 1, vec![load(2, 4, 0)]), now);
+    book.apply_domain_update(note("y", "fortaleza", 1, vec![load(2, 4, 0)]), now);
 
     assert_eq!(goes_on, [3, 5]);
     assert_eq!(requests(&book, 1..3), [0, 4]);
@@ -481,7 +490,7 @@
 
     #[test]
     fn sums_that_are_kept_are_those_made_anew(steps in steps()) {
-        let book = LoadBook::default();
+        let book = LoadTable::default();
         let now = Instant::now();
         let own = "own".to_owned();
         let mut naive: Map<u8, Map<u16, u16>> = Map::default();
@@ -491,12 +500,12 @@
             let loads = |l: &[(u16, u16)]| l.iter().map(|(n, r)| load(*n, *r, 0)).collect();
             match step {
                 Step::Note(g, l) => {
-                    book.take(note(&format!("g{g}"), "recife", number, loads(&l)), now);
+                    book.apply_update(note(&format!("g{g}"), "recife", number, loads(&l)), now);
                     naive.insert(g, l.into_iter().collect());
                 }
                 Step::Change(g, l) => {
                     let changed = change(&format!("g{g}"), number, loads(&l));
-                    book.take_changes(&own, vec![changed], now);
+                    book.apply_changes(&own, vec![changed], now);
                     if let Some(known) = naive.get_mut(&g) {
                         known.extend(l);
                     }
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use beacon::{EngineNote, Holding};
-use gateway::membership::Roster;
+use gateway::membership::UpstreamTable;
 use gateway::upstream::{Health, Listed, Slot, Told};
 
 const RETURN_TIME: Duration = Duration::from_secs(2);
@@ -12,13 +12,13 @@
 /// Time without a confirmed list in which entries may lapse.
 const AWAY: Duration = Duration::from_secs(3);
 
-fn roster() -> Roster {
-    Roster::new("recife".to_owned(), RETURN_TIME)
+fn roster() -> UpstreamTable {
+    UpstreamTable::new("recife".to_owned(), RETURN_TIME)
 }
 
 /// Takes a list soon after the one before.
-fn list(roster: &Roster, all: Vec<Listed>, now: Instant) -> bool {
-    roster.list(all, Duration::from_secs(1), now)
+fn list(roster: &UpstreamTable, all: Vec<Listed>, now: Instant) -> bool {
+    roster.apply_list(all, Duration::from_secs(1), now)
 }
 
 fn listed(n: u16) -> Listed {
@@ -58,9 +58,9 @@
     }
 }
 
-fn known(roster: &Roster, now: Instant) -> Vec<String> {
+fn known(roster: &UpstreamTable, now: Instant) -> Vec<String> {
     let mut ids: Vec<String> = roster
-        .of("llm", now)
+        .available("llm", now)
         .iter()
         .map(|u| u.instance.clone())
         .collect();
@@ -89,7 +89,7 @@
     let back = now + AWAY;
     list(&roster, vec![listed(1), listed(2)], now);
 
-    roster.list(vec![listed(1)], AWAY, back);
+    roster.apply_list(vec![listed(1)], AWAY, back);
     list(&roster, vec![listed(1)], back + Duration::from_millis(500));
 
     let before = back + RETURN_TIME - Duration::from_millis(1);
@@ -102,12 +102,12 @@
 #[test]
 fn a_missing_entry_is_not_kept_longer_by_a_second_return() {
     let long = AWAY * 2;
-    let roster = Roster::new("recife".to_owned(), long);
+    let roster = UpstreamTable::new("recife".to_owned(), long);
     let now = Instant::now();
     list(&roster, vec![listed(1), listed(2)], now);
-    roster.list(vec![listed(1)], AWAY, now + AWAY);
+    roster.apply_list(vec![listed(1)], AWAY, now + AWAY);
 
-    roster.list(vec![listed(1)], AWAY, now + AWAY * 2);
+    roster.apply_list(vec![listed(1)], AWAY, now + AWAY * 2);
 
     assert_eq!(known(&roster, now + AWAY + long), ["i-1"]);
 }
@@ -118,7 +118,7 @@
     let now = Instant::now();
     let back = now + AWAY;
     list(&roster, vec![listed(1), listed(2)], now);
-    roster.list(vec![listed(1)], AWAY, back);
+    roster.apply_list(vec![listed(1)], AWAY, back);
 
     list(
         &roster,
@@ -166,16 +166,16 @@
     let roster = roster();
     let now = Instant::now();
     list(&roster, vec![listed(1)], now);
-    let upstream = roster.of("llm", now).remove(0);
+    let upstream = roster.available("llm", now).remove(0);
     assert_eq!(upstream.serves(&"m".to_owned()), Some(1));
 
-    assert!(roster.note(note(1, 2, true), Instant::now()));
+    assert!(roster.apply_status(note(1, 2, true), Instant::now()));
     assert_eq!(upstream.serves(&"m".to_owned()), None);
 
-    assert!(!roster.note(note(1, 1, false), Instant::now()));
+    assert!(!roster.apply_status(note(1, 1, false), Instant::now()));
     assert_eq!(upstream.serves(&"m".to_owned()), None);
 
-    assert!(roster.note(note(1, 3, false), Instant::now()));
+    assert!(roster.apply_status(note(1, 3, false), Instant::now()));
     assert_eq!(upstream.serves(&"m".to_owned()), Some(2));
 }
 
@@ -189,10 +189,10 @@
         ..note(1, 1, false)
     };
     let after = note(1, 2, true);
-    roster.note(before, now);
+    roster.apply_status(before, now);
 
-    let at_once = roster.note(after.clone(), now);
-    let later = roster.note(after, now + Duration::from_secs(3));
+    let at_once = roster.apply_status(after.clone(), now);
+    let later = roster.apply_status(after, now + Duration::from_secs(3));
 
     assert!(!at_once && later);
 }
@@ -207,9 +207,9 @@
         ..note(1, 1, false)
     };
 
-    roster.note(planned, now);
+    roster.apply_status(planned, now);
 
-    let upstream = roster.of("llm", now).remove(0);
+    let upstream = roster.available("llm", now).remove(0);
     let second = Duration::from_secs(1);
     assert_eq!(upstream.leaves_in(now + second), Some(second));
     assert_eq!(upstream.leaves_in(now + second * 2), Some(Duration::ZERO));
@@ -234,18 +234,18 @@
     let roster = roster();
     let now = Instant::now();
     list(&roster, vec![born(1, 100, Some(1))], now);
-    let former = roster.of("llm", now).remove(0);
+    let former = roster.available("llm", now).remove(0);
     former.report(Health::Replaced);
     let told = Told {
         freed: Arc::default(),
         changed: Arc::default(),
     };
     let slot = Slot::take(former.clone(), Some(1), 700, told);
-    roster.note(note_of(100, 5), now);
+    roster.apply_status(note_of(100, 5), now);
 
     let changed = list(&roster, vec![born(1, 200, None)], now);
 
-    let upstream = roster.of("llm", now).remove(0);
+    let upstream = roster.available("llm", now).remove(0);
     assert!(changed);
     assert_eq!(upstream.serves(&"m".to_owned()), None, "it holds nothing");
     assert_eq!((upstream.load().requests, upstream.load().unread), (0, 0));
@@ -271,9 +271,9 @@
     let now = Instant::now();
     list(&roster, vec![born(1, 200, None)], now);
 
-    assert!(!roster.note(note_of(100, 9), now));
+    assert!(!roster.apply_status(note_of(100, 9), now));
 
-    let upstream = roster.of("llm", now).remove(0);
+    let upstream = roster.available("llm", now).remove(0);
     assert_eq!(upstream.serves(&"m".to_owned()), None);
 }
 
@@ -283,12 +283,12 @@
     let now = Instant::now();
     list(&roster, vec![born(1, 100, Some(1))], now);
 
-    assert!(roster.note(note_of(200, 1), now));
-    let before = roster.of("llm", now).remove(0);
+    assert!(roster.apply_status(note_of(200, 1), now));
+    let before = roster.available("llm", now).remove(0);
     assert_eq!(before.serves(&"m".to_owned()), Some(2));
     list(&roster, vec![born(1, 200, None)], now);
 
-    let after = roster.of("llm", now).remove(0);
+    let after = roster.available("llm", now).remove(0);
     assert_eq!(after.serves(&"m".to_owned()), Some(2));
 }
 
@@ -297,11 +297,11 @@
     let roster = roster();
     let now = Instant::now();
     list(&roster, vec![born(1, 100, Some(1))], now);
-    roster.note(note_of(200, 1), now);
+    roster.apply_status(note_of(200, 1), now);
 
     list(&roster, vec![born(1, 300, None)], now);
 
-    let upstream = roster.of("llm", now).remove(0);
+    let upstream = roster.available("llm", now).remove(0);
     assert_eq!(
         (upstream.born, upstream.serves(&"m".to_owned())),
         (Some(300), None)
@@ -332,11 +332,11 @@
 
     list(&roster, vec![moved], now);
 
-    let upstream = roster.of("llm", now).remove(0);
+    let upstream = roster.available("llm", now).remove(0);
     assert_eq!(upstream.addr.port(), 9999);
 }
 
-fn is_cold(roster: &Roster, now: Instant) -> bool {
+fn is_cold(roster: &UpstreamTable, now: Instant) -> bool {
     roster.all()[0].view(None, now).is_cold
 }
 
@@ -369,9 +369,9 @@
     let (roster, now) = (roster(), Instant::now());
     list(&roster, vec![at_revision(5, Duration::ZERO)], now);
 
-    roster.may_be_cold("fortaleza", 8);
+    roster.mark_possibly_cold("fortaleza", 8);
     let of_another_domain = is_cold(&roster, now);
-    roster.may_be_cold("recife", 8);
+    roster.mark_possibly_cold("recife", 8);
     list(&roster, vec![at_revision(7, Duration::ZERO)], now);
     let by_an_earlier_entry = is_cold(&roster, now);
     list(&roster, vec![at_revision(9, Duration::ZERO)], now);
