--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -17,9 +17,9 @@
 
 use crate::Cx;
 use crate::balance::{Pick, pick};
-use crate::call::Job;
 use crate::refusal::Refusal;
-use crate::upstream::{Slot, Told, Upstream};
+use crate::request::RoutedRequest;
+use crate::upstream::{Slot, SlotNotifier, Upstream};
 
 /// A waiting request looks again after this long even if nothing was freed here: a slot may have
 /// been freed by another gateway, whose note takes up to 25 ms.
@@ -53,31 +53,31 @@
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Told when a slot is freed.
-    pub fn freed(&self) -> Arc<Notify> {
+    /// SlotNotifier when a slot is freed.
+    pub fn slot_freed(&self) -> Arc<Notify> {
         self.freed.clone()
     }
 
     /// Waits until what is in flight has changed.
-    pub async fn changed(&self) {
+    pub async fn load_changed(&self) {
         self.changed.notified().await;
     }
 
     /// What a slot tells of its beginning and its end.
-    pub fn told(&self) -> Told {
-        Told {
-            freed: self.freed.clone(),
-            changed: self.changed.clone(),
+    pub fn notifier(&self) -> SlotNotifier {
+        SlotNotifier {
+            slot_freed: self.freed.clone(),
+            load_changed: self.changed.clone(),
         }
     }
 
-    fn enter<'a>(&'a self, service: &'a ServiceName, job: &Job) -> Ticket<'a> {
+    fn enter<'a>(&'a self, service: &'a ServiceName, job: &RoutedRequest) -> Ticket<'a> {
         let mut lines = self.lines();
         let line = lines.entry(service.clone()).or_default();
         Ticket {
             admission: self,
             service,
-            place: line.enter(job.standing, job.priority()),
+            place: line.enter(job.deadline_class, job.priority()),
         }
     }
 
@@ -89,7 +89,7 @@
 }
 
 /// Until when a request that just arrived may wait.
-pub fn wait_until(job: &Job) -> Instant {
+pub fn wait_until(job: &RoutedRequest) -> Instant {
     (job.arrived + longest_wait(job.route.objective)).min(job.deadline)
 }
 
@@ -97,7 +97,7 @@
 /// suspect, and how far it is kept from others.
 pub async fn slot(
     cx: &Cx,
-    job: &Job,
+    job: &RoutedRequest,
     service: &Service,
     tried: &[Arc<Upstream>],
     care: Option<Care>,
@@ -114,8 +114,13 @@
                     let unread = service
                         .engine
                         .as_ref()
-                        .map_or(0, |_| job.call.prompt_tokens);
-                    return Ok(Slot::take(upstream, version, unread, cx.admission.told()));
+                        .map_or(0, |_| job.metadata.prompt_tokens);
+                    return Ok(Slot::acquire(
+                        upstream,
+                        version,
+                        unread,
+                        cx.admission.notifier(),
+                    ));
                 }
                 Pick::Full => waits = true,
                 Pick::NotBefore(at) if at < until => waits = true,
@@ -143,7 +148,7 @@
 fn pick_with(
     care: Option<Care>,
     cx: &Cx,
-    job: &Job,
+    job: &RoutedRequest,
     service: &Service,
     tried: &[Arc<Upstream>],
     waits: bool,
--- a/crates/gateway/src/announce.rs
+++ b/crates/gateway/src/announce.rs
@@ -38,7 +38,7 @@
         send(&cx, &beacon, due.near, due.far, RATE_LIMITS, number);
         if now.saturating_duration_since(purged) >= PURGE_INTERVAL {
             purged = now;
-            cx.feedback.forget(&cx.roster.lives(), now);
+            cx.feedback.forget(&cx.registry.lives(), now);
         }
     }
 }
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -22,9 +22,9 @@
 use rand::RngExt;
 
 use crate::Cx;
-use crate::call::Job;
 use crate::loads::Others;
-use crate::upstream::{Upstream, View};
+use crate::request::RoutedRequest;
+use crate::upstream::{Snapshot, Upstream};
 
 /// What became of a choice.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
 /// none had room before.
 pub(crate) fn pick(
     cx: &Cx,
-    job: &Job,
+    job: &RoutedRequest,
     service: &Service,
     tried: &[Arc<Upstream>],
     apart: &[SocketAddr],
@@ -69,10 +69,10 @@
 ) -> Pick {
     let now = clock::now();
     let ask = ask(cx, job, service);
-    let model = service.engine.as_ref().and(job.call.model.as_ref());
+    let model = service.engine.as_ref().and(job.metadata.model.as_ref());
     let oldest = model.map_or(0, |model| cx.releases.oldest(model, now));
     let (near_gateways, all_gateways) = (cx.near_gateways(), cx.gateways());
-    let entries = cx.roster.entries(&job.service);
+    let entries = cx.registry.entries(&job.service);
     let drained = cx.drains.current();
     let sums = cx.loads.sums();
     let feedback = cx.feedback.current();
@@ -80,15 +80,18 @@
     let mut search = Search::default();
     for entry in entries.iter().filter(|e| e.is_known(now)) {
         let upstream = &entry.upstream;
-        let is_allowed = job.may_run_in(&cx.cfg.domains, &upstream.domain);
+        let is_allowed = job.can_run_in(&cx.cfg.domains, &upstream.domain);
         if !is_allowed || drained.contains_key(&upstream.domain) {
             continue;
         }
-        let view = upstream.view(model, now);
-        let runs = model.is_none() || view.serves.is_some_and(|version| version >= oldest);
+        let view = upstream.snapshot(model, now);
+        let runs = model.is_none()
+            || view
+                .serving_version
+                .is_some_and(|version| version >= oldest);
         let drain = DrainState {
-            listed: view.leaving,
-            advertised: feedback.is_draining(upstream.life),
+            listed: view.draining,
+            advertised: feedback.is_draining(upstream.incarnation),
         };
         if !accepts_requests(drain)
             || !runs
@@ -97,8 +100,8 @@
             continue;
         }
         let others = sums.of(&upstream.addr);
-        let sound = !view.paused && !is_failing(upstream, &view, others, now);
-        let is_far = upstream.domain != cx.roster.domain;
+        let sound = !view.is_ejected && !is_failing(upstream, &view, others, now);
+        let is_far = upstream.domain != cx.registry.domain;
         let warmth = match service.cold_rate.filter(|_| view.is_cold) {
             None => Warmth::Warm,
             Some(rate) => cold(cx, upstream, &view, rate, now),
@@ -106,9 +109,9 @@
         if warmth == Warmth::OthersSend {
             continue;
         }
-        let limit = feedback.rate_limit(upstream.life);
+        let limit = feedback.rate_limit(upstream.incarnation);
         let by_rate = limit.and_then(|limit| next_by_rate(cx, upstream, &view, &limit));
-        let next = next_send(feedback.back_off_until(upstream.life), by_rate);
+        let next = next_send(feedback.back_off_until(upstream.incarnation), by_rate);
         if let Some(next) = next.filter(|next| *next > now) {
             search.not_before(next);
             continue;
@@ -131,7 +134,7 @@
         }
         if let Some(weight) = ask.weight(&candidate) {
             let weight = weight + rng.random_range(0.0..JITTER);
-            search.offer(weight, upstream, view.serves, sound);
+            search.offer(weight, upstream, view.serving_version, sound);
         }
     }
     search.end()
@@ -189,7 +192,7 @@
 }
 
 /// Returns whether this gateway may send a request to a cold upstream that bears so many a second.
-fn cold(cx: &Cx, upstream: &Upstream, view: &View, rate: f64, now: Instant) -> Warmth {
+fn cold(cx: &Cx, upstream: &Upstream, view: &Snapshot, rate: f64, now: Instant) -> Warmth {
     let limit = Limit {
         rate,
         overage: cx.cfg.cold_overage,
@@ -200,19 +203,24 @@
     };
     match sender_rank(cx, upstream).is_some_and(is_sender) {
         false => Warmth::OthersSend,
-        true if is_due(view.chosen, interval, now) => Warmth::Due,
+        true if is_due(view.last_chosen, interval, now) => Warmth::Due,
         true => Warmth::NotDue,
     }
 }
 
 /// When this gateway may next send to an upstream with a rate limit; `None` for at once.
-fn next_by_rate(cx: &Cx, upstream: &Upstream, view: &View, limit: &RateLimit) -> Option<Instant> {
+fn next_by_rate(
+    cx: &Cx,
+    upstream: &Upstream,
+    view: &Snapshot,
+    limit: &RateLimit,
+) -> Option<Instant> {
     match sender_rank(cx, upstream) {
-        Some(rank) => limit.next(rank, cx.near_gateways(), view.chosen),
+        Some(rank) => limit.next(rank, cx.near_gateways(), view.last_chosen),
         // Other gateways all go first.
         None => {
             let all = cx.gateways();
-            limit.next(all, all, view.chosen)
+            limit.next(all, all, view.last_chosen)
         }
     }
 }
@@ -222,17 +230,17 @@
 fn sender_rank(cx: &Cx, upstream: &Upstream) -> Option<usize> {
     let peers = cx.peers.borrow();
     let others = peers.near_gateways.keys();
-    let may_rank = upstream.domain == cx.roster.domain && peers.lists_own;
+    let may_rank = upstream.domain == cx.registry.domain && peers.includes_self;
     may_rank.then(|| senders::rank(&upstream.addr.to_string(), &cx.cfg.node.vm, others))
 }
 
 /// Whether an upstream fails most of what all gateways send there.
-fn is_failing(upstream: &Upstream, view: &View, others: Others, now: Instant) -> bool {
+fn is_failing(upstream: &Upstream, view: &Snapshot, others: Others, now: Instant) -> bool {
     // Few fail at all; only of these it matters what has faded.
-    if !Counts::may_be_failing(others.ended.failed + view.failed_at_most) {
+    if !Counts::may_be_failing(others.ended.failed + view.max_failed) {
         return false;
     }
-    let own = upstream.ended(now);
+    let own = upstream.outcome_counts(now);
     let ended = Counts {
         failed: others.ended.failed + own.failed,
         answered: others.ended.answered + own.answered,
@@ -245,14 +253,17 @@
     let since_start = now.saturating_duration_since(cx.started);
     let moment = since_start.as_millis() / moment(is_far).as_millis();
     // The upper half of the hash, so that it is exact as a float.
-    let hash = cx.draws.hash_one((upstream.addr, moment)) >> 32;
+    let hash = cx.random_state.hash_one((upstream.addr, moment)) >> 32;
     hash as f64 / f64::from(u32::MAX)
 }
 
-fn ask(cx: &Cx, job: &Job, service: &Service) -> Ask {
-    let tokens = job.call.expected_tokens.unwrap_or(job.call.max_tokens);
+fn ask(cx: &Cx, job: &RoutedRequest, service: &Service) -> Ask {
+    let tokens = job
+        .metadata
+        .expected_tokens
+        .unwrap_or(job.metadata.max_tokens);
     Ask {
-        standing: job.standing,
+        standing: job.deadline_class,
         objective: job.route.objective,
         prompt_rate: service.engine.as_ref().map(|e| e.prompt_rate),
         tokens,
@@ -260,7 +271,7 @@
     }
 }
 
-fn candidate(view: &View, others: Others, is_far: bool) -> Candidate {
+fn candidate(view: &Snapshot, others: Others, is_far: bool) -> Candidate {
     Candidate {
         slots: view.slots,
         requests: view.requests + others.requests,
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-use crate::call::EventId;
+use crate::request::EventId;
 
 /// Bytes of a stream, whole events first.
 #[derive(Debug, Default)]
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -15,9 +15,9 @@
 use log::{info, warn};
 use tokio::sync::Notify;
 
-use crate::call::{Advertised, Reply};
 use crate::news::Reach;
 use crate::rate_limits::{Due, RateLimits};
+use crate::request::{Advertised, ResponseMetadata};
 use crate::upstream::Upstream;
 
 /// Log prefix of this part.
@@ -53,7 +53,13 @@
     }
 
     /// Records the head of an upstream's answer to a request that was sent at `sent`.
-    pub fn observe(&self, upstream: &Upstream, reply: &Reply, sent: Instant, now: Instant) {
+    pub fn observe(
+        &self,
+        upstream: &Upstream,
+        reply: &ResponseMetadata,
+        sent: Instant,
+        now: Instant,
+    ) {
         let mut state = self.state();
         state.ignore(upstream, "rate_limit", &reply.rate_limit, now);
         state.ignore(upstream, "draining", &reply.draining, now);
@@ -136,17 +142,21 @@
         let Advertised::Invalid(value) = value else {
             return;
         };
-        if self.ignored.insert((upstream.life, header), now).is_none() {
+        if self
+            .ignored
+            .insert((upstream.incarnation, header), now)
+            .is_none()
+        {
             warn!(target: PART, "{PART}: event=ignored upstream={} addr={} header={header} value={value}", upstream.instance, upstream.addr);
         }
     }
 
     fn observe_draining(&mut self, upstream: &Upstream, header: &Advertised<bool>, now: Instant) {
-        if *header != Advertised::Value(true) || self.draining.contains_key(&upstream.life) {
+        if *header != Advertised::Value(true) || self.draining.contains_key(&upstream.incarnation) {
             return;
         }
-        self.draining.insert(upstream.life, now);
-        info!(target: PART, "{PART}: event=draining upstream={} addr={} listed={}", upstream.instance, upstream.addr, upstream.is_leaving());
+        self.draining.insert(upstream.incarnation, now);
+        info!(target: PART, "{PART}: event=draining upstream={} addr={} listed={}", upstream.instance, upstream.addr, upstream.is_draining());
     }
 
     fn observe_back_off(
@@ -158,9 +168,9 @@
         let Advertised::Value(time) = header else {
             return;
         };
-        let known = self.back_offs.get(&upstream.life).copied();
+        let known = self.back_offs.get(&upstream.incarnation).copied();
         let until = back_off::until(known, *time, now);
-        self.back_offs.insert(upstream.life, until);
+        self.back_offs.insert(upstream.incarnation, until);
         if known.is_none_or(|known| known <= now) {
             info!(target: PART, "{PART}: event=back_off upstream={} addr={} for={time:?}", upstream.instance, upstream.addr);
             metrics::counter!("driftnotch_back_offs_total").increment(1);
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -16,11 +16,11 @@
 
 use crate::announce;
 use crate::news::Reach;
-use crate::send::report;
+use crate::send::record_health;
 use crate::spread::greet;
 use crate::tell::greeting;
 use crate::upstream::Health;
-use crate::{Cx, Followed};
+use crate::{Cx, ReplicatedDoc};
 
 /// Log prefix of this part.
 const PART: &str = "gossip";
@@ -66,16 +66,16 @@
     if ended.is_empty() {
         return;
     }
-    let all = cx.roster.all();
-    for upstream in all.iter().filter(|u| ended.contains(&u.life)) {
-        report(upstream, Health::Unreachable);
+    let all = cx.registry.all();
+    for upstream in all.iter().filter(|u| ended.contains(&u.incarnation)) {
+        record_health(upstream, Health::Unreachable);
     }
 }
 
 /// Takes updates of rate limits; a limit that was lifted may make room for a queued request.
 fn receive_rate_limits(cx: &Cx, updates: Vec<RateLimitUpdate>, relay_to: Option<Reach>) {
     if cx.feedback.receive(updates, relay_to, clock::now()) {
-        cx.admission.freed().notify_one();
+        cx.admission.slot_freed().notify_one();
     }
 }
 
@@ -90,8 +90,8 @@
     if let Some(newer) = cx.releases.newer_than(&note.releases) {
         beacon.send(&Msg::Releases(newer), [from]);
     }
-    if cx.roster.note(note, now) {
-        cx.admission.freed().notify_one();
+    if cx.registry.note(note, now) {
+        cx.admission.slot_freed().notify_one();
     }
 }
 
@@ -100,12 +100,12 @@
     // That the store confirmed the list goes for this process too.
     if let Some(confirmed) = clock::now().checked_sub(note.upstreams_age) {
         cx.mirror
-            .confirm(cx.upstreams.name, note.upstreams, confirmed);
+            .confirm(cx.upstream_list.name, note.upstreams, confirmed);
     }
     let from = note.copies_at;
     copy_newer(cx, client, |cx| &cx.configuration, note.configuration, from);
-    copy_newer(cx, client, |cx| &cx.upstreams, note.upstreams, from);
-    copy_newer(cx, client, |cx| &cx.members, note.members, from);
+    copy_newer(cx, client, |cx| &cx.upstream_list, note.upstreams, from);
+    copy_newer(cx, client, |cx| &cx.member_list, note.members, from);
     cx.loads.heard_from(&note.from, sender);
     if cx.loads.take(note, clock::now()) {
         beacon.send(&greeting(cx), [sender]);
@@ -125,21 +125,21 @@
 fn copy_newer(
     cx: &Arc<Cx>,
     client: &Client,
-    followed: fn(&Cx) -> &Followed,
+    followed: fn(&Cx) -> &ReplicatedDoc,
     revision: Revision,
     from: SocketAddr,
 ) {
-    let Followed { name, copying, .. } = followed(cx);
+    let ReplicatedDoc { name, fetching, .. } = followed(cx);
     let behind = revision > cx.mirror.revision(name);
-    if !behind || copying.swap(true, Relaxed) {
+    if !behind || fetching.swap(true, Relaxed) {
         return;
     }
     let (cx, client) = (cx.clone(), client.clone());
     tokio::spawn(async move {
         let followed = followed(&cx);
         let copied = copy(&cx, &client, followed.name, from).await;
-        followed.not_copied.store(!copied, Relaxed);
-        followed.copying.store(false, Relaxed);
+        followed.fetch_failed.store(!copied, Relaxed);
+        followed.fetching.store(false, Relaxed);
     });
 }
 
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -14,13 +14,13 @@
 
 use crate::Cx;
 use crate::admission::{slot, wait_until};
-use crate::call::{Call, Job};
 use crate::confirm::{confirmed, verdict};
-use crate::loss::{self, Loss};
+use crate::loss::{self, ResponseLoss};
 use crate::record::{Ending, Record};
 use crate::refusal::Refusal;
 use crate::relay::{self, Stream};
-use crate::send::{Answer, Sent, read_whole, report, send};
+use crate::request::{RequestMetadata, RoutedRequest};
+use crate::send::{Answer, Sent, read_whole, record_health, send};
 use crate::spans::Span;
 use crate::suspects::permitted;
 use crate::upstream::{Health, Slot, Upstream};
@@ -57,22 +57,24 @@
     req: Request,
     arrived: Instant,
     record: &mut Record,
-) -> Result<(Job, Arc<Service>), Refusal> {
+) -> Result<(RoutedRequest, Arc<Service>), Refusal> {
     let (head, body) = req.into_parts();
-    let call = (cx.codec.call)(&head).map_err(|e| Refusal::BadHead(e.to_string()))?;
-    record.id.clone_from(&call.id);
+    let metadata = (cx.codec.parse_request)(&head).map_err(|e| Refusal::BadHead(e.to_string()))?;
+    record.id.clone_from(&metadata.attempt_id);
     let until = arrived + cx.cfg.start_wait;
     let Allowed {
         catalog,
         route,
-        tenant,
-    } = allowed(cx, &call, head.uri.path(), until, record).await?;
-    if let Some(tenant) = &tenant {
-        record.workspace.clone_from(&tenant.workspace);
+        workspace,
+    } = allowed(cx, &metadata, head.uri.path(), until, record).await?;
+    if let Some(workspace) = &workspace {
+        record.workspace.clone_from(&workspace.workspace);
     }
-    let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
+    let patience = metadata.timeout.unwrap_or(route.timeout).min(route.timeout);
     record.patience_ms = patience.as_millis() as u64;
-    let waited = cx.ages.waited(&route.name, call.patience, arrived);
+    let waited = cx
+        .attempt_ages
+        .waited(&route.name, metadata.timeout, arrived);
     record.waited_ms = waited.as_millis() as u64;
     let body = read(&catalog, &head, body, patience).await?;
     let service = route.service(rand::rng().random_range(0.0..1.0)).clone();
@@ -81,15 +83,15 @@
         .service(&service)
         .ok_or(Refusal::NoUpstream(NOT_READY_RETRY))?
         .clone();
-    let standing = standing(&call, &route, &service, waited);
-    let job = Job {
-        standing,
-        call,
+    let deadline_class = deadline_class(&metadata, &route, &service, waited);
+    let job = RoutedRequest {
+        deadline_class,
+        metadata,
         head,
         body,
         route,
         service: service.name.clone(),
-        tenant,
+        workspace,
         arrived,
         deadline: arrived + patience,
         spans: record.spans.clone(),
@@ -103,14 +105,14 @@
 struct Allowed {
     catalog: Arc<Catalog>,
     route: Arc<Route>,
-    tenant: Option<Arc<Tenant>>,
+    workspace: Option<Arc<Tenant>>,
 }
 
 /// Finds route and workspace. A request that the configuration doesn't allow is denied only where it was
 /// confirmed lately: a change that allows it may be on its way.
 async fn allowed(
     cx: &Arc<Cx>,
-    call: &Call,
+    metadata: &RequestMetadata,
     path: &str,
     until: Instant,
     record: &mut Record,
@@ -120,7 +122,7 @@
         record.revision = catalog.revision;
         let age = cx.mirror.age(cx.configuration.name).unwrap_or_default();
         record.confirmed_ms = age.as_millis() as u64;
-        let denial = match look_up(catalog.clone(), call, path, record) {
+        let denial = match look_up(catalog.clone(), metadata, path, record) {
             Ok(allowed) => return Ok(allowed),
             Err(denial) => denial,
         };
@@ -144,25 +146,32 @@
 
 fn look_up(
     catalog: Arc<Catalog>,
-    call: &Call,
+    metadata: &RequestMetadata,
     path: &str,
     record: &mut Record,
 ) -> Result<Allowed, Refusal> {
-    let route = catalog.route(&call.host, path).ok_or(Refusal::NoRoute)?;
+    let route = catalog
+        .route(&metadata.host, path)
+        .ok_or(Refusal::NoRoute)?;
     let route = route.clone();
     record.route.clone_from(&route.name);
-    let tenant = tenant(&catalog, call, route.public)?;
+    let workspace = workspace(&catalog, metadata, route.public)?;
     Ok(Allowed {
         catalog,
         route,
-        tenant,
+        workspace,
     })
 }
 
 /// Whether a request whose caller first asked so long ago can still have its first event in time.
-fn standing(call: &Call, route: &Route, service: &Service, waited: Duration) -> Standing {
+fn deadline_class(
+    metadata: &RequestMetadata,
+    route: &Route,
+    service: &Service,
+    waited: Duration,
+) -> Standing {
     let engine = service.engine.as_ref();
-    let read = engine.map_or(Duration::ZERO, |e| e.prompt_time(call.prompt_tokens));
+    let read = engine.map_or(Duration::ZERO, |e| e.prompt_time(metadata.prompt_tokens));
     match waited + read < route.objective {
         true => Standing::Timely,
         false => Standing::Late,
@@ -181,11 +190,15 @@
 }
 
 /// The workspace that holds the caller's key.
-fn tenant(catalog: &Catalog, call: &Call, public: bool) -> Result<Option<Arc<Tenant>>, Refusal> {
+fn workspace(
+    catalog: &Catalog,
+    metadata: &RequestMetadata,
+    public: bool,
+) -> Result<Option<Arc<Tenant>>, Refusal> {
     let Access::Keys(keys) = &catalog.access else {
         return Ok(None);
     };
-    let known = call.key.as_ref().and_then(|key| keys.get(key)).cloned();
+    let known = metadata.key.as_ref().and_then(|key| keys.get(key)).cloned();
     match known {
         None if !public => Err(Refusal::NoKey),
         known => Ok(known),
@@ -221,7 +234,7 @@
     pub sent: u32,
     unreachable: u32,
     /// Why it may have run although no answer can be had.
-    lost: Option<Loss>,
+    lost: Option<ResponseLoss>,
     /// A failure that an upstream answered with.
     failure: Option<Response>,
 }
@@ -238,8 +251,13 @@
 }
 
 /// Sends a request until an upstream answers or it must be given up.
-async fn dispatch(cx: &Arc<Cx>, job: Job, service: Arc<Service>, mut record: Record) -> Response {
-    cx.budget.earn(&job.service, clock::now());
+async fn dispatch(
+    cx: &Arc<Cx>,
+    job: RoutedRequest,
+    service: Arc<Service>,
+    mut record: Record,
+) -> Response {
+    cx.retry_budget.earn(&job.service, clock::now());
     let job = Arc::new(job);
     let mut tries = Tries::default();
     loop {
@@ -274,12 +292,12 @@
         }
         match sent {
             Sent::Unreached(why) => {
-                debug!(target: PART, "{PART}: event=unreachable id={} upstream={instance} why=\"{why}\"", job.call.id);
+                debug!(target: PART, "{PART}: event=unreachable id={} upstream={instance} why=\"{why}\"", job.metadata.attempt_id);
                 tries.unreachable += 1;
                 continue;
             }
             Sent::NotRun(why) => {
-                debug!(target: PART, "{PART}: event=not_run id={} upstream={instance} why=\"{why}\"", job.call.id);
+                debug!(target: PART, "{PART}: event=not_run id={} upstream={instance} why=\"{why}\"", job.metadata.attempt_id);
                 tries.sent += 1;
             }
             Sent::Lost(loss) => {
@@ -312,7 +330,7 @@
                 }
             }
         }
-        if (tries.lost.is_some() || tries.failure.is_some()) && !job.repeatable() {
+        if (tries.lost.is_some() || tries.failure.is_some()) && !job.is_retryable() {
             return tries.give_up(Refusal::TimedOut, record);
         }
     }
@@ -329,21 +347,29 @@
 }
 
 /// Why a request may not be sent now: time, attempts or the budget are used up.
-fn may_not_send(cx: &Cx, job: &Job, tries: &Tries) -> Option<Refusal> {
+fn may_not_send(cx: &Cx, job: &RoutedRequest, tries: &Tries) -> Option<Refusal> {
     let attempts = tries.sent >= job.route.max_attempts || tries.unreachable >= MOST_UNREACHABLE;
     if job.remaining().is_zero() {
         return Some(Refusal::NoTime(NOT_TAKEN_RETRY));
     }
-    let pays = || cx.budget.spend(&job.service, cx.gateways(), clock::now());
+    let pays = || {
+        cx.retry_budget
+            .spend(&job.service, cx.gateways(), clock::now())
+    };
     (attempts || (tries.sent > 0 && !pays())).then_some(Refusal::NotTaken(NOT_TAKEN_RETRY))
 }
 
-fn streams(job: &Job, answer: &Answer) -> bool {
+fn streams(job: &RoutedRequest, answer: &Answer) -> bool {
     job.route.kind.is_stream() && answer.head.status.is_success()
 }
 
 /// Reads an answer to its end, so that one that breaks off is never passed on as whole.
-async fn whole(cx: &Cx, job: &Job, slot: &Slot, answer: Answer) -> Result<Response, Loss> {
+async fn whole(
+    cx: &Cx,
+    job: &RoutedRequest,
+    slot: &Slot,
+    answer: Answer,
+) -> Result<Response, ResponseLoss> {
     let Answer {
         head,
         body,
@@ -355,15 +381,15 @@
     let status = head.status.as_u16();
     // A status that promises what the upstream did not say isn't passed on; where it did say so,
     // this was no answer but a refusal.
-    if matches!(status, 408 | 429 | 503) && !job.repeatable() {
-        return Err(Loss::Unclear(status));
+    if matches!(status, 408 | 429 | 503) && !job.is_retryable() {
+        return Err(ResponseLoss::Unclear(status));
     }
     if !head.status.is_server_error() {
-        report(slot.upstream(), Health::Answered);
+        record_health(slot.upstream(), Health::Answered);
         cx.suspects.finished(job);
     }
     let mut res = Response::new(full(buf));
     *res.status_mut() = head.status;
-    *res.headers_mut() = (cx.codec.back)(&head.headers);
+    *res.headers_mut() = (cx.codec.response_headers)(&head.headers);
     Ok(res)
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -16,7 +16,6 @@
 mod ages;
 mod announce;
 mod balance;
-pub mod call;
 mod confirm;
 mod connection;
 pub mod drain;
@@ -35,6 +34,7 @@
 pub mod refusal;
 mod relay;
 pub mod release;
+pub mod request;
 mod send;
 mod serve;
 pub mod spans;
@@ -58,7 +58,6 @@
 
 use crate::admission::Admission;
 use crate::ages::Ages;
-use crate::call::Codec;
 use crate::confirm::Confirmations;
 use crate::drain::Drains;
 use crate::feedback::Feedback;
@@ -66,6 +65,7 @@
 use crate::loads::LoadBook;
 use crate::membership::Roster;
 use crate::release::Releases;
+use crate::request::Codec;
 use crate::suspects::Suspects;
 
 pub use serve::run;
@@ -79,7 +79,7 @@
     /// Configuration in force; `None` until one is known.
     pub catalog: watch::Receiver<Option<Arc<Catalog>>>,
     /// Upstreams.
-    pub roster: Roster,
+    pub registry: Roster,
     /// Failure domains that operators have drained.
     pub drains: Drains,
     /// Feedback of upstreams in their answers.
@@ -89,9 +89,9 @@
     /// Requests waiting for a slot.
     pub admission: Admission,
     /// How long ago callers first asked.
-    pub ages: Ages,
+    pub attempt_ages: Ages,
     /// Budget of requests sent again.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Requests under which upstreams ended.
     pub suspects: Arc<Suspects>,
     /// What other gateways have in flight.
@@ -101,27 +101,27 @@
     /// Copies of documents.
     pub mirror: Mirror,
     /// The configuration.
-    pub configuration: Followed,
+    pub configuration: ReplicatedDoc,
     /// Confirmations of it.
     pub confirmations: Confirmations,
     /// The list of upstreams.
-    pub upstreams: Followed,
+    pub upstream_list: ReplicatedDoc,
     /// The list of our own processes.
-    pub members: Followed,
+    pub member_list: ReplicatedDoc,
     /// Load notes sent so far.
-    pub notes: AtomicU64,
+    pub load_sequence: AtomicU64,
     /// Whether a newer configuration is waited for, or copied from another failure domain.
     pub catching_up: AtomicBool,
     /// Whether the platform's store can be reached.
     pub reaches_store: watch::Receiver<bool>,
     /// Documents passed on to others.
-    pub documents: Vec<DocName>,
+    pub served_documents: Vec<DocName>,
     /// Incarnation of this process.
     pub incarnation: Incarnation,
     /// When it started.
     pub started: Instant,
     /// Draws that differ from those of other gateways.
-    pub draws: RandomHasher,
+    pub random_state: RandomHasher,
     /// Other processes, as they are known now.
     pub peers: watch::Receiver<Peers>,
     /// Turns true when a planned stop begins.
@@ -130,24 +130,24 @@
 
 /// A document that is copied from other gateways of the failure domain.
 #[derive(Debug)]
-pub struct Followed {
+pub struct ReplicatedDoc {
     /// Document.
     pub name: DocName,
     /// Revision that is in force here, or was before one that couldn't be decoded; 0 for none.
     pub in_force: watch::Sender<Revision>,
     /// Whether it is being copied.
-    copying: AtomicBool,
+    fetching: AtomicBool,
     /// Whether a newer revision is known of, and the last try to copy it failed.
-    pub not_copied: AtomicBool,
+    pub fetch_failed: AtomicBool,
 }
 
-impl Followed {
-    fn new(name: DocName) -> Followed {
-        Followed {
+impl ReplicatedDoc {
+    fn new(name: DocName) -> ReplicatedDoc {
+        ReplicatedDoc {
             name,
             in_force: watch::Sender::new(0),
-            copying: AtomicBool::new(false),
-            not_copied: AtomicBool::new(false),
+            fetching: AtomicBool::new(false),
+            fetch_failed: AtomicBool::new(false),
         }
     }
 }
@@ -156,7 +156,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Peers {
     /// Whether this gateway is listed itself, so that others know of it.
-    pub lists_own: bool,
+    pub includes_self: bool,
     /// Where loaders of the own failure domain take datagrams.
     pub near_loaders: Vec<std::net::SocketAddr>,
     /// Where other gateways of the own failure domain take datagrams.
@@ -167,35 +167,35 @@
 
 impl Cx {
     /// A context that knows no upstreams yet.
-    pub fn new(wiring: Wiring) -> Cx {
-        let cfg = wiring.cfg;
+    pub fn new(deps: Dependencies) -> Cx {
+        let cfg = deps.cfg;
         Cx {
-            budget: RetryBudget::new(cfg.retry_window, cfg.retry_ratio, cfg.retry_slack),
-            roster: Roster::new(cfg.node.domain.clone(), cfg.return_time),
+            retry_budget: RetryBudget::new(cfg.retry_window, cfg.retry_ratio, cfg.retry_slack),
+            registry: Roster::new(cfg.node.domain.clone(), cfg.return_time),
             drains: Drains::default(),
             feedback: Feedback::default(),
             releases: Releases::new(cfg.node.version_time, cfg.node.contact_time),
             admission: Admission::default(),
-            ages: Ages::default(),
+            attempt_ages: Ages::default(),
             suspects: Arc::new(Suspects::new(cfg.hold_time)),
             loads: LoadBook::default(),
-            introductions: Introductions::new(wiring.listed),
+            introductions: Introductions::new(deps.registered_members),
             incarnation: base::unix_ms(),
             started: clock::now(),
-            draws: RandomHasher::default(),
-            codec: wiring.codec,
-            catalog: wiring.catalog,
-            mirror: wiring.mirror,
-            configuration: Followed::new(wiring.configuration),
-            confirmations: Confirmations::new(cfg.config_time, wiring.read_store),
-            upstreams: Followed::new(wiring.upstreams),
-            members: Followed::new(wiring.members),
-            notes: AtomicU64::new(1),
+            random_state: RandomHasher::default(),
+            codec: deps.codec,
+            catalog: deps.catalog,
+            mirror: deps.mirror,
+            configuration: ReplicatedDoc::new(deps.configuration),
+            confirmations: Confirmations::new(cfg.config_time, deps.read_store),
+            upstream_list: ReplicatedDoc::new(deps.upstream_list),
+            member_list: ReplicatedDoc::new(deps.member_list),
+            load_sequence: AtomicU64::new(1),
             catching_up: AtomicBool::new(false),
-            reaches_store: wiring.reaches_store,
-            documents: wiring.documents,
-            peers: wiring.peers,
-            stop: wiring.stop,
+            reaches_store: deps.reaches_store,
+            served_documents: deps.served_documents,
+            peers: deps.peers,
+            stop: deps.stop,
             cfg,
         }
     }
@@ -215,12 +215,12 @@
     /// Whether callers' requests can be served.
     pub fn is_ready(&self) -> bool {
         let stopping = *self.stop.borrow();
-        !stopping && self.catalog.borrow().is_some() && self.roster.is_known()
+        !stopping && self.catalog.borrow().is_some() && self.registry.is_known()
     }
 }
 
 /// What a gateway is made of.
-pub struct Wiring {
+pub struct Dependencies {
     /// Settings.
     pub cfg: GatewayCfg,
     /// Reads and writes the platform's headers.
@@ -232,11 +232,11 @@
     /// Document with the configuration.
     pub configuration: DocName,
     /// Document with the list of upstreams.
-    pub upstreams: DocName,
+    pub upstream_list: DocName,
     /// Document with the list of our own processes.
-    pub members: DocName,
+    pub member_list: DocName,
     /// Documents passed on to others.
-    pub documents: Vec<DocName>,
+    pub served_documents: Vec<DocName>,
     /// Whether the platform's store can be reached.
     pub reaches_store: watch::Receiver<bool>,
     /// Has the configuration read from the store at once.
@@ -244,7 +244,7 @@
     /// Other processes.
     pub peers: watch::Receiver<Peers>,
     /// Processes that are registered.
-    pub listed: watch::Receiver<Vec<beacon::Member>>,
+    pub registered_members: watch::Receiver<Vec<beacon::Member>>,
     /// Turns true when a planned stop begins.
     pub stop: watch::Receiver<bool>,
 }
--- a/crates/gateway/src/loss.rs
+++ b/crates/gateway/src/loss.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpStream;
 
 use crate::Cx;
-use crate::call::Job;
-use crate::send::report;
+use crate::request::RoutedRequest;
+use crate::send::record_health;
 use crate::upstream::{Health, Upstream};
 
 /// Log prefix of this part.
@@ -31,7 +31,7 @@
 
 /// Why no whole answer came of a request that was sent.
 #[derive(Debug, Clone, Display, PartialEq, Eq)]
-pub enum Loss {
+pub enum ResponseLoss {
     /// the connection broke off: {0}
     BrokeOff(String),
     /// the upstream fell silent
@@ -44,7 +44,7 @@
     Unclear(u16),
 }
 
-impl std::error::Error for Loss {}
+impl std::error::Error for ResponseLoss {}
 
 /// What became of an upstream whose answer was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -66,25 +66,30 @@
 }
 
 /// Notes that an upstream's answer to a request was lost, and finds out whether the upstream ended.
-pub(crate) async fn note(cx: &Cx, job: &Job, upstream: &Arc<Upstream>, loss: &Loss) -> Fate {
+pub(crate) async fn note(
+    cx: &Cx,
+    job: &RoutedRequest,
+    upstream: &Arc<Upstream>,
+    loss: &ResponseLoss,
+) -> Fate {
     let fate = match loss {
-        Loss::BrokeOff(_) if refuses(upstream).await => Fate::Ended,
+        ResponseLoss::BrokeOff(_) if refuses(upstream).await => Fate::Ended,
         _ => Fate::Unknown,
     };
     match (fate, loss) {
         (Fate::Ended, _) => {
-            report(upstream, Health::Unreachable);
+            record_health(upstream, Health::Unreachable);
             info!(
                 target: PART,
                 "{PART}: event=upstream_ended upstream={} addr={} request={} route={} id={} why=\"{loss}\"",
-                upstream.instance, upstream.addr, job.fingerprint(), job.route.name, job.call.id,
+                upstream.instance, upstream.addr, job.fingerprint(), job.route.name, job.metadata.attempt_id,
             );
             cx.suspects.ended(job, upstream);
         }
         // It was noted as a failure when it came.
-        (Fate::Unknown, Loss::Unclear(_)) => {}
+        (Fate::Unknown, ResponseLoss::Unclear(_)) => {}
         (Fate::Unknown, _) => {
-            report(upstream, Health::Failed);
+            record_health(upstream, Health::Failed);
             cx.suspects.lost_answer(job, upstream);
         }
     }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -14,7 +14,7 @@
 use catalog::ServiceName;
 use log::info;
 
-use crate::upstream::{InstanceId, Listed, Upstream, is_former};
+use crate::upstream::{InstanceId, ListedUpstream, Upstream, is_stale};
 
 /// Log prefix of this part.
 const PART: &str = "membership";
@@ -83,7 +83,7 @@
 
     /// Takes a whole list; `gap` is how long the store had not confirmed the one before when it
     /// confirmed this one. `true` where anything changed.
-    pub fn list(&self, all: Vec<Listed>, gap: Duration, now: Instant) -> bool {
+    pub fn list(&self, all: Vec<ListedUpstream>, gap: Duration, now: Instant) -> bool {
         let all = newest_at_each_address(all);
         let mut state = self.state();
         state.known = true;
@@ -98,14 +98,14 @@
             let upstream = match before.remove(&id) {
                 // Its life is known, so an entry that doesn't tell it is another writer's.
                 Some(Entry { upstream, .. })
-                    if upstream.born.is_some() && listed.born.is_none() =>
+                    if upstream.start_time.is_some() && listed.start_time.is_none() =>
                 {
                     upstream
                 }
                 Some(Entry { upstream, .. }) if has_started_again(&upstream, &listed) => {
-                    info!(target: PART, "{PART}: event=started_again upstream={id} addr={} born={:?}", listed.addr, listed.born);
+                    info!(target: PART, "{PART}: event=started_again upstream={id} addr={} born={:?}", listed.addr, listed.start_time);
                     changed = true;
-                    Arc::new(upstream.next_life(listed))
+                    Arc::new(upstream.next_incarnation(listed))
                 }
                 Some(Entry { upstream, .. }) => {
                     changed |= relist(&upstream, listed);
@@ -146,7 +146,7 @@
     /// Takes a loader's note; `true` where it changes what an upstream can serve.
     pub fn note(&self, note: EngineNote, now: Instant) -> bool {
         let upstream = self.state().by_addr.get(&note.upstream).cloned();
-        upstream.is_some_and(|u| u.note(note, now))
+        upstream.is_some_and(|u| u.update_status(note, now))
     }
 
     /// Upstreams of a service, with those that are kept or leave.
@@ -157,7 +157,7 @@
 
     /// Upstreams of a service that take new work.
     pub fn of(&self, service: &str, now: Instant) -> Vec<Arc<Upstream>> {
-        let usable = |e: &&Entry| e.is_known(now) && !e.upstream.is_leaving();
+        let usable = |e: &&Entry| e.is_known(now) && !e.upstream.is_draining();
         let entries = self.entries(service);
         let usable = entries.iter().filter(usable);
         usable.map(|e| e.upstream.clone()).collect()
@@ -170,13 +170,17 @@
             .entries
             .values()
             .filter(|e| e.upstream.domain == domain);
-        of_domain.for_each(|e| e.upstream.may_be_cold(revision));
+        of_domain.for_each(|e| e.upstream.mark_possibly_cold(revision));
     }
 
     /// Lives of all upstreams.
     pub fn lives(&self) -> Set<LifeId> {
         let state = self.state();
-        state.entries.values().map(|e| e.upstream.life).collect()
+        state
+            .entries
+            .values()
+            .map(|e| e.upstream.incarnation)
+            .collect()
     }
 
     /// All upstreams.
@@ -203,26 +207,26 @@
 
 /// Leaves out entries whose address a newer one has: an upstream that started again, or another that
 /// was given the address, is listed beside the former one until that one's entry lapses.
-fn newest_at_each_address(all: Vec<Listed>) -> Vec<Listed> {
+fn newest_at_each_address(all: Vec<ListedUpstream>) -> Vec<ListedUpstream> {
     let mut newest: Map<SocketAddr, Revision> = Map::default();
     for listed in &all {
         let revision = newest.entry(listed.addr).or_default();
         *revision = listed.revision.max(*revision);
     }
-    let is_newest = |l: &Listed| newest.get(&l.addr) == Some(&l.revision);
+    let is_newest = |l: &ListedUpstream| newest.get(&l.addr) == Some(&l.revision);
     all.into_iter().filter(is_newest).collect()
 }
 
 /// Whether an entry is of another life than the one known under its id: it was born later, or stands at
 /// another address or for another service, of which none changes within a life.
-fn has_started_again(known: &Upstream, listed: &Listed) -> bool {
+fn has_started_again(known: &Upstream, listed: &ListedUpstream) -> bool {
     let elsewhere = known.addr != listed.addr || known.service != listed.service;
-    elsewhere || is_former(known.born, listed.born)
+    elsewhere || is_stale(known.start_time, listed.start_time)
 }
 
-fn relist(known: &Upstream, listed: Listed) -> bool {
-    let leaving = listed.leaving;
-    let differs = known.relist(listed);
+fn relist(known: &Upstream, listed: ListedUpstream) -> bool {
+    let leaving = listed.draining;
+    let differs = known.update_listing(listed);
     if differs {
         info!(target: PART, "{PART}: event=changed upstream={} addr={} leaving={leaving}", known.instance, known.addr);
     }
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -7,8 +7,8 @@
 use decide::rate_limit::RateLimit;
 use log::info;
 
-use crate::call::Advertised;
 use crate::news::{Announcement, Reach};
+use crate::request::Advertised;
 use crate::upstream::Upstream;
 
 /// Log prefix of this part.
@@ -77,7 +77,7 @@
         sent: Instant,
         now: Instant,
     ) -> bool {
-        let known = self.known.get(&upstream.life).copied();
+        let known = self.known.get(&upstream.incarnation).copied();
         let is_later = |k: Known| k.per_1000_s.is_some() && sent > k.at;
         let per_1000_s = match header {
             // Casts of floats saturate.
@@ -100,7 +100,7 @@
             announced: known.map_or(now, |k| k.announced),
             pending,
         };
-        self.known.insert(upstream.life, known);
+        self.known.insert(upstream.incarnation, known);
         if is_changed {
             log_change(upstream, header);
         }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -41,7 +41,7 @@
     /// an upstream ended under the request, which is being tried at another; come back later
     Suspect(Duration),
     /// upstreams end when they run this request, so it is sent to no more of them for now; send another one
-    Held,
+    Quarantined,
     /// the time for the request is over; it has not run
     NoTime(Duration),
     /// the time for the request is over; it may have run
@@ -70,7 +70,7 @@
             | Refusal::NotTaken(_)
             | Refusal::Suspect(_)
             | Refusal::NoTime(_) => 503,
-            Refusal::Lost(_) | Refusal::Held => 502,
+            Refusal::Lost(_) | Refusal::Quarantined => 502,
             Refusal::TimedOut => 504,
         }
     }
@@ -106,7 +106,7 @@
             Refusal::NotBefore(_) => "not_before",
             Refusal::NotTaken(_) => "not_taken",
             Refusal::Suspect(_) => "suspect",
-            Refusal::Held => "held",
+            Refusal::Quarantined => "held",
             Refusal::NoTime(_) => "no_time",
             Refusal::TimedOut => "timed_out",
             Refusal::Lost(_) => "lost",
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -18,13 +18,13 @@
 
 use crate::Cx;
 use crate::admission::slot;
-use crate::call::Job;
 use crate::connection::Connection;
 use crate::events::Events;
 use crate::handle::MOST_UNREACHABLE;
-use crate::loss::{self, Fate, Loss};
+use crate::loss::{self, Fate, ResponseLoss};
 use crate::record::{Ending, Record};
-use crate::send::{Answer, Sent, patience, report, send};
+use crate::request::RoutedRequest;
+use crate::send::{Answer, Sent, record_health, response_timeout, send};
 use crate::spans::Span;
 use crate::suspects::permitted;
 use crate::upstream::{Health, Slot, Upstream};
@@ -35,7 +35,7 @@
 /// A stream at one upstream.
 pub struct Stream {
     cx: Arc<Cx>,
-    job: Arc<Job>,
+    job: Arc<RoutedRequest>,
     service: Arc<Service>,
     head: response::Parts,
     source: Source,
@@ -54,7 +54,7 @@
 enum Next {
     Events(Bytes),
     End,
-    Lost(Loss),
+    Lost(ResponseLoss),
 }
 
 /// A stream whose first event has come.
@@ -69,7 +69,7 @@
     /// A stream whose head has come.
     pub fn new(
         cx: &Arc<Cx>,
-        job: &Arc<Job>,
+        job: &Arc<RoutedRequest>,
         service: &Arc<Service>,
         answer: Answer,
         slot: Slot,
@@ -103,7 +103,7 @@
         let until = (clock::now() + patience).min(deadline);
         loop {
             if let Some(whole) = self.events.take() {
-                self.slot.begun();
+                self.slot.record_first_event();
                 return Next::Events(whole);
             }
             let frame = clock::timeout_at(until, self.body.frame()).await;
@@ -115,10 +115,12 @@
                 }
                 Ok(None) if self.events.is_whole() => return Next::End,
                 Ok(None) => {
-                    return Next::Lost(Loss::BrokeOff("it ended within an event".to_owned()));
+                    return Next::Lost(ResponseLoss::BrokeOff(
+                        "it ended within an event".to_owned(),
+                    ));
                 }
-                Ok(Some(Err(e))) => return Next::Lost(Loss::BrokeOff(e.to_string())),
-                Err(_) => return Next::Lost(Loss::Silent),
+                Ok(Some(Err(e))) => return Next::Lost(ResponseLoss::BrokeOff(e.to_string())),
+                Err(_) => return Next::Lost(ResponseLoss::Silent),
             }
         }
     }
@@ -129,14 +131,14 @@
     mut stream: Stream,
     tried: Vec<Arc<Upstream>>,
     sent: u32,
-) -> Result<Begun, (Loss, Fate)> {
-    let patience = patience(&stream.cx, &stream.job, &stream.source.slot);
+) -> Result<Begun, (ResponseLoss, Fate)> {
+    let patience = response_timeout(&stream.cx, &stream.job, &stream.source.slot);
     let begun = clock::now();
     let next = stream.source.next(stream.job.deadline, patience).await;
     stream.job.spans.add(Span::FirstEvent, begun);
     let first = match next {
         Next::Events(first) => {
-            report(stream.source.slot.upstream(), Health::Answered);
+            record_health(stream.source.slot.upstream(), Health::Answered);
             first
         }
         Next::End => Bytes::new(),
@@ -182,7 +184,7 @@
         record.first_event_ms = Some(record.elapsed_ms());
         let mut res = hyper::Response::new(());
         *res.status_mut() = stream.head.status;
-        *res.headers_mut() = (stream.cx.codec.back)(&stream.head.headers);
+        *res.headers_mut() = (stream.cx.codec.response_headers)(&stream.head.headers);
         let rest = Rest {
             stream,
             first: Some(first),
@@ -210,7 +212,10 @@
             return Ok(Some(first));
         }
         loop {
-            let patience = self.stream.job.patience(self.stream.cx.cfg.stall_time);
+            let patience = self
+                .stream
+                .job
+                .response_timeout(self.stream.cx.cfg.stall_time);
             let deadline = self.stream.job.deadline;
             match self.stream.source.next(deadline, patience).await {
                 Next::Events(bytes) => {
@@ -231,11 +236,11 @@
     }
 
     /// Goes on at another upstream after the last event passed on.
-    async fn resume(&mut self, loss: &Loss) -> Result<(), BodyError> {
+    async fn resume(&mut self, loss: &ResponseLoss) -> Result<(), BodyError> {
         let broken = self.stream.source.slot.upstream().clone();
         let fate = loss::note(&self.stream.cx, &self.stream.job, &broken, loss).await;
         self.record.tried(&broken.instance, fate.name());
-        log::debug!(target: "relay", "relay: event=broke id={} upstream={} why=\"{loss}\"", self.stream.job.call.id, broken.instance);
+        log::debug!(target: "relay", "relay: event=broke id={} upstream={} why=\"{loss}\"", self.stream.job.metadata.attempt_id, broken.instance);
         // What it may have shown is noted by now.
         self.stream.source.slot.trial = None;
         self.go_on().await.map_err(|why| {
@@ -250,11 +255,14 @@
         if job.remaining().is_zero() {
             return Err("the time is over");
         }
-        if !job.repeatable() || self.sent >= job.route.max_attempts {
+        if !job.is_retryable() || self.sent >= job.route.max_attempts {
             return Err("the upstream broke off");
         }
         let mut slot = self.slot().await?;
-        if !cx.budget.spend(&job.service, cx.gateways(), clock::now()) {
+        if !cx
+            .retry_budget
+            .spend(&job.service, cx.gateways(), clock::now())
+        {
             return Err("the retry budget is used up");
         }
         for _ in 0..MOST_UNREACHABLE {
@@ -290,7 +298,7 @@
     async fn send_on(&mut self, slot: Slot) -> Result<Reached, &'static str> {
         let (cx, job) = (self.stream.cx.clone(), self.stream.job.clone());
         let last = self.stream.source.events.last().cloned();
-        let last = last.or_else(|| job.call.last_event.clone());
+        let last = last.or_else(|| job.metadata.last_event_id.clone());
         let instance = slot.upstream().instance.clone();
         self.tried.push(slot.upstream().clone());
         let sent = send(&cx, &job, &slot, last.as_deref()).await;
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/request.rs
@@ -22,11 +22,11 @@
 
 /// What a caller says of its request.
 #[derive(Debug, Clone, Default)]
-pub struct Call {
+pub struct RequestMetadata {
     /// Id of the caller's attempt.
-    pub id: AttemptId,
+    pub attempt_id: AttemptId,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Key it shows.
     pub key: Option<ApiKey>,
     /// Host it names.
@@ -40,14 +40,14 @@
     /// The caller's estimate of the tokens that will be generated.
     pub expected_tokens: Option<u64>,
     /// Last part of the prompt that other requests share: its session or subject.
-    pub subject: Option<String>,
+    pub shared_prefix: Option<String>,
     /// Event after which a stream is to go on.
-    pub last_event: Option<EventId>,
+    pub last_event_id: Option<EventId>,
 }
 
 /// What an upstream is told beside what the caller sent.
 #[derive(Debug)]
-pub struct Forward<'a> {
+pub struct ForwardMetadata<'a> {
     /// Time left.
     pub remaining: Duration,
     /// Incarnation that alone may run the request.
@@ -59,7 +59,7 @@
     /// Rank.
     pub priority: u8,
     /// Event after which a stream is to go on, where it isn't the caller's.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
 }
 
 /// Value of a header that an upstream may add to an answer.
@@ -76,11 +76,11 @@
 
 /// What the head of an answer says.
 #[derive(Debug, Clone, Default)]
-pub struct Reply {
+pub struct ResponseMetadata {
     /// Attempt that it answers.
-    pub id: Option<AttemptId>,
+    pub attempt_id: Option<AttemptId>,
     /// Whether the upstream signed it.
-    pub signed: bool,
+    pub is_signed: bool,
     /// Whether the request has not run and never will.
     pub not_run: bool,
     /// Incarnation that answered.
@@ -97,9 +97,9 @@
 
 /// Why a head can't be read.
 #[derive(Debug)]
-pub struct BadCall(pub String);
+pub struct InvalidHead(pub String);
 
-impl fmt::Display for BadCall {
+impl fmt::Display for InvalidHead {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -109,20 +109,20 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Codec {
     /// Reads a request's head.
-    pub call: fn(&request::Parts) -> Result<Call, BadCall>,
+    pub parse_request: fn(&request::Parts) -> Result<RequestMetadata, InvalidHead>,
     /// Headers for an upstream, from those that the caller sent.
-    pub forward: fn(&HeaderMap, &Forward<'_>) -> HeaderMap,
+    pub request_headers: fn(&HeaderMap, &ForwardMetadata<'_>) -> HeaderMap,
     /// Reads an answer's head.
-    pub reply: fn(&response::Parts) -> Reply,
+    pub parse_response: fn(&response::Parts) -> ResponseMetadata,
     /// Headers for the caller, from those that the upstream sent.
-    pub back: fn(&HeaderMap) -> HeaderMap,
+    pub response_headers: fn(&HeaderMap) -> HeaderMap,
 }
 
 /// A whole request on its way, with what was decided on it.
 #[derive(Debug)]
-pub struct Job {
+pub struct RoutedRequest {
     /// What it says of itself.
-    pub call: Call,
+    pub metadata: RequestMetadata,
     /// Method, path and headers as the caller sent them.
     pub head: request::Parts,
     /// Body.
@@ -132,23 +132,23 @@
     /// Service drawn from the route's shares.
     pub service: ServiceName,
     /// Who called; `None` on public routes without a known key.
-    pub tenant: Option<Arc<Tenant>>,
+    pub workspace: Option<Arc<Tenant>>,
     /// Whether it can still be served in its objective.
-    pub standing: Standing,
+    pub deadline_class: Standing,
     /// When its head was read.
     pub arrived: Instant,
     /// When it gets its final answer at the latest.
     pub deadline: Instant,
     /// Where its time goes.
     pub spans: Arc<Spans>,
-    /// Filled in by [`Job::fingerprint`].
+    /// Filled in by [`RoutedRequest::fingerprint`].
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
-impl Job {
+impl RoutedRequest {
     /// Rank, 0 being the most urgent.
     pub fn priority(&self) -> u8 {
-        let own = self.tenant.as_ref().and_then(|t| t.priority);
+        let own = self.workspace.as_ref().and_then(|t| t.priority);
         own.unwrap_or(self.route.priority)
     }
 
@@ -159,8 +159,8 @@
 
     /// How long a silent upstream is waited for: a request that may be sent again isn't left with one
     /// for longer than `stall_time`.
-    pub fn patience(&self, stall_time: Duration) -> Duration {
-        match self.repeatable() {
+    pub fn response_timeout(&self, stall_time: Duration) -> Duration {
+        match self.is_retryable() {
             true => self.remaining().min(stall_time),
             false => self.remaining(),
         }
@@ -170,7 +170,7 @@
     /// time that is left differ each time; another service or workspace makes another request.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            let workspace = self.tenant.as_ref().map(|t| t.workspace.as_bytes());
+            let workspace = self.workspace.as_ref().map(|t| t.workspace.as_bytes());
             let target = self
                 .head
                 .uri
@@ -187,13 +187,13 @@
     }
 
     /// Returns whether it may run in a failure domain.
-    pub fn may_run_in(&self, domains: &Domains, domain: &str) -> bool {
-        let workspace = self.tenant.as_ref().map_or(&[][..], |t| &t.allowed);
+    pub fn can_run_in(&self, domains: &Domains, domain: &str) -> bool {
+        let workspace = self.workspace.as_ref().map_or(&[][..], |t| &t.allowed);
         is_allowed(domains, domain, &self.route.allowed, workspace)
     }
 
     /// Whether it may be sent again after it may have run.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         self.route.kind.repeatable()
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -68,7 +68,7 @@
                     return cx.introductions.serve(req).await;
                 }
                 before_passing_on(&cx, &req).await;
-                mirror::serve(&cx.mirror, &cx.documents, &req).await
+                mirror::serve(&cx.mirror, &cx.served_documents, &req).await
             }
         },
     ));
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -16,10 +16,10 @@
 use tokio::sync::watch;
 
 use crate::Cx;
-use crate::call::Job;
 use crate::news::{Due, News, Reach, case, note};
 use crate::refusal::Refusal;
-use crate::unconfirmed::{UnconfirmedEnd, UnconfirmedEnds};
+use crate::request::RoutedRequest;
+use crate::unconfirmed::{UnconfirmedExit, UnconfirmedExits};
 use crate::upstream::Upstream;
 
 /// Log prefix of this part.
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct Suspects {
     quarantine: Mutex<Quarantine>,
-    unconfirmed: UnconfirmedEnds,
+    unconfirmed: UnconfirmedExits,
     /// What other gateways are to be told.
     pub(crate) news: News,
     /// Told when a request is held back, or no more.
@@ -91,7 +91,7 @@
     pub(crate) fn new(hold_time: Duration) -> Suspects {
         Suspects {
             quarantine: Mutex::new(Quarantine::new(hold_time)),
-            unconfirmed: UnconfirmedEnds::default(),
+            unconfirmed: UnconfirmedExits::default(),
             news: News::default(),
             changed: watch::Sender::new(()),
             own: Mutex::default(),
@@ -105,7 +105,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn verdict(&self, job: &Job) -> Verdict {
+    fn verdict(&self, job: &RoutedRequest) -> Verdict {
         let quarantine = self.quarantine();
         match quarantine.is_empty() {
             // Usually so; neither fingerprint nor time is asked for.
@@ -123,7 +123,7 @@
     /// first: of several that begin in one moment one goes on.
     pub(crate) async fn begin(
         self: &Arc<Suspects>,
-        job: &Job,
+        job: &RoutedRequest,
         upstream: SocketAddr,
     ) -> Result<Option<Trial>, Refusal> {
         if self.verdict(job) == Verdict::Free {
@@ -150,25 +150,25 @@
     }
 
     /// Notes that an answer was lost; whether its upstream ended may show later.
-    pub(crate) fn lost_answer(&self, job: &Job, upstream: &Upstream) {
-        self.unconfirmed.add(UnconfirmedEnd {
+    pub(crate) fn lost_answer(&self, job: &RoutedRequest, upstream: &Upstream) {
+        self.unconfirmed.add(UnconfirmedExit {
             request: job.fingerprint(),
             upstream: upstream.addr,
-            end: end_of(upstream),
+            exit: end_of(upstream),
         });
     }
 
     /// Takes which upstreams live: those that aren't among them have ended, also under requests whose answer
     /// was lost before.
     pub fn lives(&self, lives: &Set<LifeId>) {
-        for ended in self.unconfirmed.confirmed(lives, clock::now()) {
-            self.note_end(ended.request, ended.upstream, ended.end, "-", "-");
+        for ended in self.unconfirmed.take_confirmed(lives, clock::now()) {
+            self.note_end(ended.request, ended.upstream, ended.exit, "-", "-");
         }
     }
 
     /// Notes that an upstream ended while it had a request.
-    pub(crate) fn ended(&self, job: &Job, upstream: &Upstream) {
-        let workspace = job.tenant.as_ref().map_or("-", |t| &t.workspace);
+    pub(crate) fn ended(&self, job: &RoutedRequest, upstream: &Upstream) {
+        let workspace = job.workspace.as_ref().map_or("-", |t| &t.workspace);
         let (request, end) = (job.fingerprint(), end_of(upstream));
         self.note_end(request, upstream.addr, end, &job.route.name, workspace);
     }
@@ -199,7 +199,7 @@
     }
 
     /// Notes that a request ran to its end.
-    pub(crate) fn finished(&self, job: &Job) {
+    pub(crate) fn finished(&self, job: &RoutedRequest) {
         let now = clock::now();
         self.unconfirmed.forget(|| job.fingerprint());
         let mut quarantine = self.quarantine();
@@ -332,7 +332,7 @@
 }
 
 /// Waits until a request may be sent on; with which care, where upstreams ended under it.
-pub(crate) async fn permitted(cx: &Cx, job: &Job) -> Result<Option<Care>, Refusal> {
+pub(crate) async fn permitted(cx: &Cx, job: &RoutedRequest) -> Result<Option<Care>, Refusal> {
     cx.suspects.wait_known(cx).await;
     if cx.suspects.is_empty() {
         return Ok(None);
@@ -356,14 +356,14 @@
 /// The answer to a request that may not be sent on now.
 fn refusal(verdict: Verdict) -> Refusal {
     match verdict {
-        Verdict::Held(_) => Refusal::Held,
+        Verdict::Held(_) => Refusal::Quarantined,
         _ => Refusal::Suspect(TRIED_RETRY),
     }
 }
 
 fn end_of(upstream: &Upstream) -> End {
     End {
-        life: upstream.life,
+        life: upstream.incarnation,
         at: clock::now(),
     }
 }
--- a/crates/gateway/src/tell.rs
+++ b/crates/gateway/src/tell.rs
@@ -57,7 +57,7 @@
             _ = clock::sleep_until(due) => News::Due,
             _ = clock::sleep_until(told + REPEAT) => News::StillUp,
             Ok(()) = documents.changed() => News::Document,
-            _ = cx.admission.changed() => {
+            _ = cx.admission.load_changed() => {
                 let audience = audience(&cx, News::Load, others, clock::now());
                 tokio::time::sleep(delay(audience)).await;
                 News::Load
@@ -134,7 +134,7 @@
     LoadChange {
         from: cx.cfg.node.vm.clone(),
         incarnation: cx.incarnation,
-        number: cx.notes.fetch_add(1, Relaxed),
+        number: cx.load_sequence.fetch_add(1, Relaxed),
         loads: largest(own_loads(cx)),
     }
 }
@@ -255,7 +255,7 @@
 }
 
 fn own_loads(cx: &Cx) -> Vec<Load> {
-    let all = cx.roster.all();
+    let all = cx.registry.all();
     let loads = all.iter().map(|u| u.load());
     loads.filter(|l| l.requests > 0 || l.failed > 0).collect()
 }
@@ -265,12 +265,12 @@
         from: cx.cfg.node.vm.clone(),
         domain: cx.cfg.node.domain.clone(),
         incarnation: cx.incarnation,
-        number: cx.notes.fetch_add(1, Relaxed),
+        number: cx.load_sequence.fetch_add(1, Relaxed),
         reaches_store: *cx.reaches_store.borrow(),
         configuration: cx.mirror.revision(cx.configuration.name),
-        members: cx.mirror.revision(cx.members.name),
-        upstreams: cx.mirror.revision(cx.upstreams.name),
-        upstreams_age: cx.mirror.age(cx.upstreams.name).unwrap_or_default(),
+        members: cx.mirror.revision(cx.member_list.name),
+        upstreams: cx.mirror.revision(cx.upstream_list.name),
+        upstreams_age: cx.mirror.age(cx.upstream_list.name).unwrap_or_default(),
         copies_at: cx.cfg.copies,
         loads,
     }
--- a/crates/gateway/src/unconfirmed.rs
+++ b/crates/gateway/src/unconfirmed.rs
@@ -19,26 +19,26 @@
 
 /// An answer that was lost, of whose upstream it isn't known yet whether it ended.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct UnconfirmedEnd {
+pub(crate) struct UnconfirmedExit {
     /// The request.
     pub(crate) request: Fingerprint,
     /// Where it was sent.
     pub(crate) upstream: SocketAddr,
     /// The end of that upstream, if it was one.
-    pub(crate) end: End,
+    pub(crate) exit: End,
 }
 
 /// Such ends, the earliest first.
 #[derive(Debug, Default)]
-pub(crate) struct UnconfirmedEnds(Mutex<VecDeque<UnconfirmedEnd>>);
+pub(crate) struct UnconfirmedExits(Mutex<VecDeque<UnconfirmedExit>>);
 
-impl UnconfirmedEnds {
-    fn all(&self) -> MutexGuard<'_, VecDeque<UnconfirmedEnd>> {
+impl UnconfirmedExits {
+    fn all(&self) -> MutexGuard<'_, VecDeque<UnconfirmedExit>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes one.
-    pub(crate) fn add(&self, end: UnconfirmedEnd) {
+    pub(crate) fn add(&self, end: UnconfirmedExit) {
         let mut all = self.all();
         if all.len() == MOST_UNCONFIRMED {
             all.pop_front();
@@ -47,12 +47,16 @@
     }
 
     /// Takes out those whose upstream isn't among the `lives` any more, and forgets those that are too old.
-    pub(crate) fn confirmed(&self, lives: &Set<LifeId>, now: Instant) -> VecDeque<UnconfirmedEnd> {
+    pub(crate) fn take_confirmed(
+        &self,
+        lives: &Set<LifeId>,
+        now: Instant,
+    ) -> VecDeque<UnconfirmedExit> {
         let mut all = self.all();
-        all.retain(|e| now.saturating_duration_since(e.end.at) < LIST_TIME);
+        all.retain(|e| now.saturating_duration_since(e.exit.at) < LIST_TIME);
         let (ended, unknown) = std::mem::take(&mut *all)
             .into_iter()
-            .partition(|e| !lives.contains(&e.end.life));
+            .partition(|e| !lives.contains(&e.exit.life));
         *all = unknown;
         ended
     }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -31,7 +31,7 @@
 
 /// An upstream as the platform lists it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct ListedUpstream {
     /// Incarnation.
     pub instance: InstanceId,
     /// Service it belongs to.
@@ -43,7 +43,7 @@
     /// Requests it works on at once.
     pub slots: u32,
     /// Whether it takes no new work.
-    pub leaving: bool,
+    pub draining: bool,
     /// Time for which it stays cold.
     pub cold_for: Duration,
     /// Weights it holds whole.
@@ -51,14 +51,14 @@
     /// Revision of its entry; grows with each of its heartbeats.
     pub revision: Revision,
     /// Start of its life, where it tells it: it may start again under its id.
-    pub born: Option<Born>,
+    pub start_time: Option<Born>,
 }
 
-impl Listed {
+impl ListedUpstream {
     /// Whether something other than what each heartbeat changes differs.
-    pub fn differs(&self, other: &Listed) -> bool {
+    pub fn differs_from(&self, other: &ListedUpstream) -> bool {
         *self
-            != Listed {
+            != ListedUpstream {
                 revision: self.revision,
                 cold_for: self.cold_for,
                 ..other.clone()
@@ -67,11 +67,11 @@
 }
 
 /// Whether a life ended before another began; `false` where either isn't known.
-pub fn is_former(born: Option<Born>, later: Option<Born>) -> bool {
+pub fn is_stale(born: Option<Born>, later: Option<Born>) -> bool {
     matches!((born, later), (Some(born), Some(later)) if born < later)
 }
 
-fn life(instance: &str, born: Option<Born>) -> LifeId {
+fn incarnation(instance: &str, born: Option<Born>) -> LifeId {
     let born = born.map_or(0, |born| born.wrapping_add(1));
     Fingerprint::of(&[instance.as_bytes(), &born.to_le_bytes()]).short()
 }
@@ -93,7 +93,7 @@
 
 #[derive(Debug)]
 struct State {
-    listed: Listed,
+    listed: ListedUpstream,
     note: Option<(EngineNote, Instant)>,
     requests: u32,
     unread: u64,
@@ -115,7 +115,7 @@
     }
 
     /// Takes what a newer entry says of how long it stays cold.
-    fn relist_cold(&mut self, listed: &Listed, now: Instant) {
+    fn relist_cold(&mut self, listed: &ListedUpstream, now: Instant) {
         if listed.revision <= self.listed.revision {
             return;
         }
@@ -149,13 +149,13 @@
 
 /// How an upstream stands at a moment; load is this gateway's part.
 #[derive(Debug, Clone, Copy)]
-pub struct View {
+pub struct Snapshot {
     /// Whether it takes no new work.
-    pub leaving: bool,
+    pub draining: bool,
     /// Version of the model that it can serve.
-    pub serves: Option<WeightsVersion>,
+    pub serving_version: Option<WeightsVersion>,
     /// Whether it is left alone for now.
-    pub paused: bool,
+    pub is_ejected: bool,
     /// Requests it works on at once.
     pub slots: u32,
     /// Requests in flight.
@@ -163,13 +163,13 @@
     /// Their prompt tokens that aren't read yet.
     pub unread: u64,
     /// Requests that lately failed there, not faded yet.
-    pub failed_at_most: f64,
+    pub max_failed: f64,
     /// Time until it is to leave service for new weights, as its loader has told.
     pub leaves_in: Option<Duration>,
     /// Whether it is cold, or may be.
     pub is_cold: bool,
     /// When this gateway last chose it.
-    pub chosen: Option<Instant>,
+    pub last_chosen: Option<Instant>,
 }
 
 /// An upstream.
@@ -184,15 +184,15 @@
     /// Failure domain.
     pub domain: DomainName,
     /// Start of its life, where it is known.
-    pub born: Option<Born>,
+    pub start_time: Option<Born>,
     /// The same number for this life at all gateways.
-    pub life: LifeId,
+    pub incarnation: LifeId,
     state: Mutex<State>,
 }
 
 impl Upstream {
     /// An upstream that was just listed.
-    pub fn new(listed: Listed) -> Upstream {
+    pub fn new(listed: ListedUpstream) -> Upstream {
         let now = clock::now();
         let cold_until = (!listed.cold_for.is_zero()).then(|| now + listed.cold_for);
         Upstream {
@@ -200,8 +200,8 @@
             service: listed.service.clone(),
             addr: listed.addr,
             domain: listed.domain.clone(),
-            born: listed.born,
-            life: life(&listed.instance, listed.born),
+            start_time: listed.start_time,
+            incarnation: incarnation(&listed.instance, listed.start_time),
             state: Mutex::new(State {
                 listed,
                 note: None,
@@ -223,9 +223,9 @@
     }
 
     /// Takes what the platform lists now; `true` where it differs.
-    pub fn relist(&self, listed: Listed) -> bool {
+    pub fn update_listing(&self, listed: ListedUpstream) -> bool {
         let mut state = self.state();
-        let differs = state.listed.differs(&listed);
+        let differs = state.listed.differs_from(&listed);
         state.relist_cold(&listed, clock::now());
         state.listed = listed;
         differs
@@ -233,17 +233,17 @@
 
     /// The life that follows this one under the same id. Of this one nothing is kept: what it held, ran and
     /// how it fared went with it; only a note that its loader sent of the new life holds on.
-    pub fn next_life(&self, listed: Listed) -> Upstream {
+    pub fn next_incarnation(&self, listed: ListedUpstream) -> Upstream {
         let next = Upstream::new(listed);
         let note = self.state().note.take();
-        next.state().note = note.filter(|(note, _)| note.born == next.born);
+        next.state().note = note.filter(|(note, _)| note.born == next.start_time);
         next
     }
 
     /// Takes a loader's note, unless a newer one is known or it is of a former life; `true` where it changes
     /// what the upstream can serve.
-    pub fn note(&self, note: EngineNote, now: Instant) -> bool {
-        if is_former(note.born, self.born) {
+    pub fn update_status(&self, note: EngineNote, now: Instant) -> bool {
+        if is_stale(note.born, self.start_time) {
             return false;
         }
         let mut state = self.state();
@@ -263,12 +263,12 @@
     }
 
     /// Whether it takes no new work.
-    pub fn is_leaving(&self) -> bool {
-        self.state().listed.leaving
+    pub fn is_draining(&self) -> bool {
+        self.state().listed.draining
     }
 
     /// Version of a model that it can serve now; `None` where it holds none whole, or changes it.
-    pub fn serves(&self, model: &Model) -> Option<WeightsVersion> {
+    pub fn serving_version(&self, model: &Model) -> Option<WeightsVersion> {
         self.state().serves(model, clock::now())
     }
 
@@ -278,24 +278,24 @@
     }
 
     /// How it stands for a choice, under one lock: a choice looks at all upstreams of a service.
-    pub fn view(&self, model: Option<&Model>, now: Instant) -> View {
+    pub fn snapshot(&self, model: Option<&Model>, now: Instant) -> Snapshot {
         let state = self.state();
-        View {
-            leaving: state.listed.leaving,
-            serves: model.and_then(|model| state.serves(model, now)),
-            paused: state.paused_until.is_some_and(|until| until > now),
+        Snapshot {
+            draining: state.listed.draining,
+            serving_version: model.and_then(|model| state.serves(model, now)),
+            is_ejected: state.paused_until.is_some_and(|until| until > now),
             slots: state.listed.slots.max(1),
             requests: state.requests,
             unread: state.unread,
-            failed_at_most: state.outcomes.failed_at_most(),
+            max_failed: state.outcomes.failed_at_most(),
             leaves_in: state.leaves_in(now),
             is_cold: state.is_cold(now),
-            chosen: state.chosen,
+            last_chosen: state.chosen,
         }
     }
 
     /// How this gateway's requests lately ended there.
-    pub fn ended(&self, now: Instant) -> Counts {
+    pub fn outcome_counts(&self, now: Instant) -> Counts {
         self.state().outcomes.counts(now)
     }
 
@@ -306,7 +306,7 @@
     }
 
     /// Notes that it may have turned cold: it counts as cold until an entry of a later revision says otherwise.
-    pub fn may_be_cold(&self, revision: Revision) {
+    pub fn mark_possibly_cold(&self, revision: Revision) {
         let mut state = self.state();
         let since = revision.max(state.listed.revision);
         state.cold_unless_after = Some(since);
@@ -327,13 +327,13 @@
     }
 
     /// Whether it is left alone for now.
-    pub fn is_paused(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         let until = self.state().paused_until;
         until.is_some_and(|until| until > clock::now())
     }
 
     /// Notes how sending went; `true` where the upstream is left alone from now on.
-    pub fn report(&self, health: Health) -> bool {
+    pub fn record_health(&self, health: Health) -> bool {
         let now = clock::now();
         let mut state = self.state();
         match health {
@@ -374,11 +374,11 @@
 
 /// What is told when requests begin and end.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct SlotNotifier {
     /// A slot was freed.
-    pub freed: Arc<Notify>,
+    pub slot_freed: Arc<Notify>,
     /// What is in flight has changed.
-    pub changed: Arc<Notify>,
+    pub load_changed: Arc<Notify>,
 }
 
 /// A request counted at an upstream until it is dropped.
@@ -388,25 +388,25 @@
     /// Version of the weights that was chosen with it.
     pub version: Option<WeightsVersion>,
     unread: u64,
-    told: Told,
+    told: SlotNotifier,
     /// Held while it is a suspect's.
     pub(crate) trial: Option<Trial>,
 }
 
 impl Slot {
     /// Counts a request with a prompt of `unread` tokens.
-    pub fn take(
+    pub fn acquire(
         upstream: Arc<Upstream>,
         version: Option<WeightsVersion>,
         unread: u64,
-        told: Told,
+        told: SlotNotifier,
     ) -> Slot {
         let mut state = upstream.state();
         state.requests += 1;
         state.unread += unread;
         state.chosen = Some(clock::now());
         drop(state);
-        told.changed.notify_one();
+        told.load_changed.notify_one();
         Slot {
             upstream,
             version,
@@ -422,24 +422,24 @@
     }
 
     /// Notes that the prompt has been read: the first event came.
-    pub fn begun(&mut self) {
+    pub fn record_first_event(&mut self) {
         if self.unread == 0 {
             return;
         }
         let mut state = self.upstream.state();
         state.unread = state.unread.saturating_sub(self.unread);
         self.unread = 0;
-        self.told.changed.notify_one();
+        self.told.load_changed.notify_one();
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.begun();
+        self.record_first_event();
         let mut state = self.upstream.state();
         state.requests = state.requests.saturating_sub(1);
         drop(state);
-        self.told.freed.notify_one();
-        self.told.changed.notify_one();
+        self.told.slot_freed.notify_one();
+        self.told.load_changed.notify_one();
     }
 }
--- a/crates/gateway/tests/feedback.rs
+++ b/crates/gateway/tests/feedback.rs
@@ -3,43 +3,43 @@
 use std::time::{Duration, Instant};
 
 use beacon::RateLimitUpdate;
-use gateway::call::{Advertised, Reply};
 use gateway::feedback::Feedback;
 use gateway::news::Reach;
-use gateway::upstream::{Listed, Upstream};
+use gateway::request::{Advertised, ResponseMetadata};
+use gateway::upstream::{ListedUpstream, Upstream};
 
 fn upstream() -> Upstream {
-    Upstream::new(Listed {
+    Upstream::new(ListedUpstream {
         instance: "i-0".to_owned(),
         service: "llm".to_owned(),
         addr: ([127, 0, 0, 1], 9000).into(),
         domain: "recife".to_owned(),
         slots: 16,
-        leaving: false,
+        draining: false,
         cold_for: Duration::ZERO,
         holdings: Vec::new(),
         revision: 1,
-        born: None,
+        start_time: None,
     })
 }
 
-fn advertising(rate_limit: Advertised<f64>) -> Reply {
-    Reply {
+fn advertising(rate_limit: Advertised<f64>) -> ResponseMetadata {
+    ResponseMetadata {
         rate_limit,
-        ..Reply::default()
+        ..ResponseMetadata::default()
     }
 }
 
 fn update(upstream: &Upstream, per_1000_s: Option<u64>, ago: Duration) -> RateLimitUpdate {
     RateLimitUpdate {
-        life: upstream.life,
+        life: upstream.incarnation,
         per_1000_s,
         ago,
     }
 }
 
 fn rate(feedback: &Feedback, upstream: &Upstream) -> Option<f64> {
-    let limit = feedback.current().rate_limit(upstream.life);
+    let limit = feedback.current().rate_limit(upstream.incarnation);
     limit.map(|l| l.rate)
 }
 
@@ -174,7 +174,7 @@
     );
     let later = start + 3600 * SECOND;
 
-    feedback.forget(&[upstream.life].into_iter().collect(), later);
+    feedback.forget(&[upstream.incarnation].into_iter().collect(), later);
     assert_eq!(rate(&feedback, &upstream), Some(2.0));
 
     feedback.forget(&base::Set::default(), later);
--- a/crates/gateway/tests/membership.rs
+++ b/crates/gateway/tests/membership.rs
@@ -5,7 +5,7 @@
 
 use beacon::{EngineNote, Holding};
 use gateway::membership::Roster;
-use gateway::upstream::{Health, Listed, Slot, Told};
+use gateway::upstream::{Health, ListedUpstream, Slot, SlotNotifier};
 
 const RETURN_TIME: Duration = Duration::from_secs(2);
 
@@ -17,22 +17,22 @@
 }
 
 /// Takes a list soon after the one before.
-fn list(roster: &Roster, all: Vec<Listed>, now: Instant) -> bool {
+fn list(roster: &Roster, all: Vec<ListedUpstream>, now: Instant) -> bool {
     roster.list(all, Duration::from_secs(1), now)
 }
 
-fn listed(n: u16) -> Listed {
-    Listed {
+fn listed(n: u16) -> ListedUpstream {
+    ListedUpstream {
         instance: format!("i-{n}"),
         service: "llm".to_owned(),
         addr: ([127, 0, 0, 1], 9000 + n).into(),
         domain: "recife".to_owned(),
         slots: 16,
-        leaving: false,
+        draining: false,
         cold_for: Duration::ZERO,
         holdings: vec![holding(Some(1))],
         revision: 1,
-        born: None,
+        start_time: None,
     }
 }
 
@@ -74,7 +74,7 @@
     let now = Instant::now();
     list(&roster, vec![listed(1), listed(2), listed(3)], now);
     let mut leaving = listed(2);
-    leaving.leaving = true;
+    leaving.draining = true;
 
     let changed = list(&roster, vec![listed(1), leaving], now);
 
@@ -167,16 +167,16 @@
     let now = Instant::now();
     list(&roster, vec![listed(1)], now);
     let upstream = roster.of("llm", now).remove(0);
-    assert_eq!(upstream.serves(&"m".to_owned()), Some(1));
+    assert_eq!(upstream.serving_version(&"m".to_owned()), Some(1));
 
     assert!(roster.note(note(1, 2, true), Instant::now()));
-    assert_eq!(upstream.serves(&"m".to_owned()), None);
+    assert_eq!(upstream.serving_version(&"m".to_owned()), None);
 
     assert!(!roster.note(note(1, 1, false), Instant::now()));
-    assert_eq!(upstream.serves(&"m".to_owned()), None);
+    assert_eq!(upstream.serving_version(&"m".to_owned()), None);
 
     assert!(roster.note(note(1, 3, false), Instant::now()));
-    assert_eq!(upstream.serves(&"m".to_owned()), Some(2));
+    assert_eq!(upstream.serving_version(&"m".to_owned()), Some(2));
 }
 
 #[test]
@@ -221,9 +221,9 @@
 }
 
 /// An entry of a life that began at a moment.
-fn born(n: u16, born: u64, version: Option<u64>) -> Listed {
-    Listed {
-        born: Some(born),
+fn born(n: u16, born: u64, version: Option<u64>) -> ListedUpstream {
+    ListedUpstream {
+        start_time: Some(born),
         holdings: vec![holding(version)],
         ..listed(n)
     }
@@ -235,21 +235,25 @@
     let now = Instant::now();
     list(&roster, vec![born(1, 100, Some(1))], now);
     let former = roster.of("llm", now).remove(0);
-    former.report(Health::Replaced);
-    let told = Told {
-        freed: Arc::default(),
-        changed: Arc::default(),
+    former.record_health(Health::Replaced);
+    let told = SlotNotifier {
+        slot_freed: Arc::default(),
+        load_changed: Arc::default(),
     };
-    let slot = Slot::take(former.clone(), Some(1), 700, told);
+    let slot = Slot::acquire(former.clone(), Some(1), 700, told);
     roster.note(note_of(100, 5), now);
 
     let changed = list(&roster, vec![born(1, 200, None)], now);
 
     let upstream = roster.of("llm", now).remove(0);
     assert!(changed);
-    assert_eq!(upstream.serves(&"m".to_owned()), None, "it holds nothing");
+    assert_eq!(
+        upstream.serving_version(&"m".to_owned()),
+        None,
+        "it holds nothing"
+    );
     assert_eq!((upstream.load().requests, upstream.load().unread), (0, 0));
-    assert!(former.is_paused() && !upstream.is_paused());
+    assert!(former.is_ejected() && !upstream.is_ejected());
     drop(slot);
     assert_eq!(
         upstream.load().requests,
@@ -274,7 +278,7 @@
     assert!(!roster.note(note_of(100, 9), now));
 
     let upstream = roster.of("llm", now).remove(0);
-    assert_eq!(upstream.serves(&"m".to_owned()), None);
+    assert_eq!(upstream.serving_version(&"m".to_owned()), None);
 }
 
 #[test]
@@ -285,11 +289,11 @@
 
     assert!(roster.note(note_of(200, 1), now));
     let before = roster.of("llm", now).remove(0);
-    assert_eq!(before.serves(&"m".to_owned()), Some(2));
+    assert_eq!(before.serving_version(&"m".to_owned()), Some(2));
     list(&roster, vec![born(1, 200, None)], now);
 
     let after = roster.of("llm", now).remove(0);
-    assert_eq!(after.serves(&"m".to_owned()), Some(2));
+    assert_eq!(after.serving_version(&"m".to_owned()), Some(2));
 }
 
 #[test]
@@ -303,7 +307,10 @@
 
     let upstream = roster.of("llm", now).remove(0);
     assert_eq!(
-        (upstream.born, upstream.serves(&"m".to_owned())),
+        (
+            upstream.start_time,
+            upstream.serving_version(&"m".to_owned())
+        ),
         (Some(300), None)
     );
 }
@@ -314,7 +321,7 @@
     let now = Instant::now();
     list(&roster, vec![born(1, 100, Some(1))], now);
     let mut foreign = listed(1);
-    foreign.leaving = true;
+    foreign.draining = true;
 
     let changed = list(&roster, vec![foreign], now);
 
@@ -337,11 +344,11 @@
 }
 
 fn is_cold(roster: &Roster, now: Instant) -> bool {
-    roster.all()[0].view(None, now).is_cold
+    roster.all()[0].snapshot(None, now).is_cold
 }
 
-fn at_revision(revision: u64, cold_for: Duration) -> Listed {
-    Listed {
+fn at_revision(revision: u64, cold_for: Duration) -> ListedUpstream {
+    ListedUpstream {
         revision,
         cold_for,
         ..listed(1)
@@ -386,9 +393,9 @@
     list(&roster, vec![at_revision(5, Duration::ZERO)], now);
     let upstream = roster.all()[0].clone();
 
-    upstream.report(Health::Unreachable);
+    upstream.record_health(Health::Unreachable);
     let once = is_cold(&roster, now);
-    upstream.report(Health::Unreachable);
+    upstream.record_health(Health::Unreachable);
     let twice = is_cold(&roster, now);
     list(&roster, vec![at_revision(6, Duration::ZERO)], now);
 
