--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -17,10 +17,10 @@
 use crate::announcements::Scope;
 use crate::load_updates::hello;
 use crate::rate_limit_updates::sync_rate_limits;
-use crate::send::report;
+use crate::send::record_health;
 use crate::suspect_updates::sync_suspects;
 use crate::upstream::Health;
-use crate::{Cx, Followed};
+use crate::{Cx, ReplicatedDoc};
 
 /// Log prefix of this part.
 const PART: &str = "gossip";
@@ -66,16 +66,16 @@
     if ended.is_empty() {
         return;
     }
-    let all = cx.roster.all();
-    for upstream in all.iter().filter(|u| ended.contains(&u.life)) {
-        report(upstream, Health::Unreachable);
+    let all = cx.registry.all();
+    for upstream in all.iter().filter(|u| ended.contains(&u.incarnation)) {
+        record_health(upstream, Health::Unreachable);
     }
 }
 
 /// Takes updates of rate limits; a limit that was lifted may make room for a queued request.
 fn receive_rate_limits(cx: &Cx, updates: Vec<RateLimitUpdate>, relay_to: Option<Scope>) {
     if cx.feedback.receive(updates, relay_to, clock::now()) {
-        cx.admission.freed().notify_one();
+        cx.admission.slot_freed().notify_one();
     }
 }
 
@@ -90,8 +90,8 @@
     if let Some(newer) = cx.releases.newer_than(&note.releases) {
         beacon.send(&Msg::Releases(newer), [from]);
     }
-    if cx.roster.apply_status(note, now) {
-        cx.admission.freed().notify_one();
+    if cx.registry.apply_status(note, now) {
+        cx.admission.slot_freed().notify_one();
     }
 }
 
@@ -100,12 +100,12 @@
     // That the store confirmed the list goes for this process too.
     if let Some(confirmed) = clock::now().checked_sub(note.upstreams_age) {
         cx.mirror
-            .confirm(cx.upstreams.name, note.upstreams, confirmed);
+            .confirm(cx.upstream_list.name, note.upstreams, confirmed);
     }
     let from = note.replica_addr;
     copy_newer(cx, client, |cx| &cx.configuration, note.configuration, from);
-    copy_newer(cx, client, |cx| &cx.upstreams, note.upstreams, from);
-    copy_newer(cx, client, |cx| &cx.members, note.members, from);
+    copy_newer(cx, client, |cx| &cx.upstream_list, note.upstreams, from);
+    copy_newer(cx, client, |cx| &cx.member_list, note.members, from);
     cx.loads.record_address(&note.from, sender);
     if cx.loads.apply_update(note, clock::now()) {
         beacon.send(&hello(cx), [sender]);
@@ -125,21 +125,21 @@
 fn copy_newer(
     cx: &Arc<Cx>,
     client: &Client,
-    followed: fn(&Cx) -> &Followed,
+    followed: fn(&Cx) -> &ReplicatedDoc,
     revision: Revision,
     from: SocketAddr,
 ) {
-    let Followed { name, copying, .. } = followed(cx);
+    let ReplicatedDoc { name, fetching, .. } = followed(cx);
     let behind = revision > cx.mirror.revision(name);
-    if !behind || copying.swap(true, Relaxed) {
+    if !behind || fetching.swap(true, Relaxed) {
         return;
     }
     let (cx, client) = (cx.clone(), client.clone());
     tokio::spawn(async move {
         let followed = followed(&cx);
         let copied = copy(&cx, &client, followed.name, from).await;
-        followed.not_copied.store(!copied, Relaxed);
-        followed.copying.store(false, Relaxed);
+        followed.fetch_failed.store(!copied, Relaxed);
+        followed.fetching.store(false, Relaxed);
     });
 }
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -16,10 +16,14 @@
 use tokio::sync::watch;
 
 use crate::Cx;
-use crate::announcements::{DueSuspects, PendingUpdates, Scope, case_from_update, suspect_update};
-use crate::call::Job;
+use crate::announcements::DueSuspects;
+use crate::announcements::PendingUpdates;
+use crate::announcements::Scope;
+use crate::announcements::case_from_update;
+use crate::announcements::suspect_update;
 use crate::refusal::Refusal;
-use crate::unconfirmed::{UnconfirmedEnd, UnconfirmedEnds};
+use crate::request::RoutedRequest;
+use crate::unconfirmed::{UnconfirmedExit, UnconfirmedExits};
 use crate::upstream::Upstream;
 
 /// Log prefix of this part.
@@ -55,7 +59,7 @@
 #[derive(Debug)]
 pub struct Suspects {
     quarantine: Mutex<Quarantine>,
-    unconfirmed: UnconfirmedEnds,
+    unconfirmed: UnconfirmedExits,
     /// What other gateways are to be told.
     pub(crate) pending: PendingUpdates,
     /// Told when a request is held back, or no more.
@@ -91,7 +95,7 @@
     pub(crate) fn new(hold_time: Duration) -> Suspects {
         Suspects {
             quarantine: Mutex::new(Quarantine::new(hold_time)),
-            unconfirmed: UnconfirmedEnds::default(),
+            unconfirmed: UnconfirmedExits::default(),
             pending: PendingUpdates::default(),
             changed: watch::Sender::new(()),
             own: Mutex::default(),
@@ -105,7 +109,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn verdict(&self, job: &Job) -> Decision {
+    fn verdict(&self, job: &RoutedRequest) -> Decision {
         let quarantine = self.quarantine();
         match quarantine.is_empty() {
             // Usually so; neither fingerprint nor time is asked for.
@@ -123,7 +127,7 @@
     /// first: of several that begin in one moment one goes on.
     pub(crate) async fn begin_trial(
         self: &Arc<Suspects>,
-        job: &Job,
+        job: &RoutedRequest,
         upstream: SocketAddr,
     ) -> Result<Option<TrialGuard>, Refusal> {
         if self.verdict(job) == Decision::Allow {
@@ -154,25 +158,25 @@
     }
 
     /// Notes that an answer was lost; whether its upstream ended may show later.
-    pub(crate) fn record_lost_response(&self, job: &Job, upstream: &Upstream) {
-        self.unconfirmed.add(UnconfirmedEnd {
+    pub(crate) fn record_lost_response(&self, job: &RoutedRequest, upstream: &Upstream) {
+        self.unconfirmed.add(UnconfirmedExit {
             request: job.fingerprint(),
             upstream: upstream.addr,
-            end: end_of(upstream),
+            exit: end_of(upstream),
         });
     }
 
     /// Takes which upstreams live: those that aren't among them have ended, also under requests whose answer
     /// was lost before.
     pub fn confirm_exits(&self, lives: &Set<LifeId>) {
-        for ended in self.unconfirmed.confirmed(lives, clock::now()) {
-            self.note_end(ended.request, ended.upstream, ended.end, "-", "-");
+        for ended in self.unconfirmed.take_confirmed(lives, clock::now()) {
+            self.note_end(ended.request, ended.upstream, ended.exit, "-", "-");
         }
     }
 
     /// Notes that an upstream ended while it had a request.
-    pub(crate) fn record_exit(&self, job: &Job, upstream: &Upstream) {
-        let workspace = job.tenant.as_ref().map_or("-", |t| &t.workspace);
+    pub(crate) fn record_exit(&self, job: &RoutedRequest, upstream: &Upstream) {
+        let workspace = job.workspace.as_ref().map_or("-", |t| &t.workspace);
         let (request, end) = (job.fingerprint(), end_of(upstream));
         self.note_end(request, upstream.addr, end, &job.route.name, workspace);
     }
@@ -203,7 +207,7 @@
     }
 
     /// Notes that a request ran to its end.
-    pub(crate) fn record_completion(&self, job: &Job) {
+    pub(crate) fn record_completion(&self, job: &RoutedRequest) {
         let now = clock::now();
         self.unconfirmed.forget(|| job.fingerprint());
         let mut quarantine = self.quarantine();
@@ -339,7 +343,7 @@
 }
 
 /// Waits until a request may be sent on; with which care, where upstreams ended under it.
-pub(crate) async fn wait_until_permitted(cx: &Cx, job: &Job) -> Result<Option<Isolation>, Refusal> {
+pub(crate) async fn wait_until_permitted(cx: &Cx, job: &RoutedRequest) -> Result<Option<Isolation>, Refusal> {
     cx.suspects.wait_known(cx).await;
     if cx.suspects.is_empty() {
         return Ok(None);
@@ -363,14 +367,14 @@
 /// The answer to a request that may not be sent on now.
 fn refusal(verdict: Decision) -> Refusal {
     match verdict {
-        Decision::Quarantined(_) => Refusal::Held,
+        Decision::Quarantined(_) => Refusal::Quarantined,
         _ => Refusal::Suspect(TRIED_RETRY),
     }
 }
 
 fn end_of(upstream: &Upstream) -> UpstreamExit {
     UpstreamExit {
-        incarnation: upstream.life,
+        incarnation: upstream.incarnation,
         at: clock::now(),
     }
 }
