--- a/crates/gateway/src/announcements.rs
+++ b/crates/gateway/src/announcements.rs
@@ -141,7 +141,11 @@
 }
 
 /// What others are told of a request.
-pub(crate) fn suspect_update(request: Fingerprint, case: &SuspectState, now: Instant) -> SuspectUpdate {
+pub(crate) fn suspect_update(
+    request: Fingerprint,
+    case: &SuspectState,
+    now: Instant,
+) -> SuspectUpdate {
     let ago = |at: Instant| now.saturating_duration_since(at);
     SuspectUpdate {
         request,
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -16,8 +16,8 @@
 use crate::admission::{slot, wait_until};
 use crate::confirm::decision;
 use crate::confirm::wait_for_confirmation;
+use crate::loss;
 use crate::loss::ResponseLoss;
-use crate::loss::self;
 use crate::record::{Ending, Record};
 use crate::refusal::Refusal;
 use crate::relay::{self, Stream};
@@ -192,7 +192,11 @@
 }
 
 /// The workspace that holds the caller's key.
-fn workspace ( catalog : & Catalog , metadata : & RequestMetadata , public : bool , ) -> Result < Option < Arc < WorkspacePolicy > > , Refusal > {
+fn workspace(
+    catalog: &Catalog,
+    metadata: &RequestMetadata,
+    public: bool,
+) -> Result<Option<Arc<WorkspacePolicy>>, Refusal> {
     let Access::Keys(keys) = &catalog.access else {
         return Ok(None);
     };
@@ -350,7 +354,10 @@
     if job.remaining().is_zero() {
         return Some(Refusal::NoTime(NOT_TAKEN_RETRY));
     }
-let pays = || { cx . retry_budget . withdraw ( & job . service , cx . gateways ( ) , clock::now ( ) ) } ;
+    let pays = || {
+        cx.retry_budget
+            .withdraw(&job.service, cx.gateways(), clock::now())
+    };
     (attempts || (tries.sent > 0 && !pays())).then_some(Refusal::NotTaken(NOT_TAKEN_RETRY))
 }
 
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -259,7 +259,10 @@
             return Err("the upstream broke off");
         }
         let mut slot = self.slot().await?;
-if ! cx . retry_budget . withdraw ( & job . service , cx . gateways ( ) , clock::now ( ) ) {
+        if !cx
+            .retry_budget
+            .withdraw(&job.service, cx.gateways(), clock::now())
+        {
             return Err("the retry budget is used up");
         }
         for _ in 0..MOST_UNREACHABLE {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -188,7 +188,10 @@
 
     /// Returns whether it may run in a failure domain.
     pub fn can_run_in(&self, domains: &Domains, domain: &str) -> bool {
-        let workspace = self.workspace.as_ref().map_or(&[][..], |t| &t.allowed_places);
+        let workspace = self
+            .workspace
+            .as_ref()
+            .map_or(&[][..], |t| &t.allowed_places);
         is_allowed(domains, domain, &self.route.allowed_places, workspace)
     }
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -343,7 +343,10 @@
 }
 
 /// Waits until a request may be sent on; with which care, where upstreams ended under it.
-pub(crate) async fn wait_until_permitted(cx: &Cx, job: &RoutedRequest) -> Result<Option<Isolation>, Refusal> {
+pub(crate) async fn wait_until_permitted(
+    cx: &Cx,
+    job: &RoutedRequest,
+) -> Result<Option<Isolation>, Refusal> {
     cx.suspects.wait_known(cx).await;
     if cx.suspects.is_empty() {
         return Ok(None);
