--- a/crates/decide/src/contention.rs
+++ b/crates/decide/src/contention.rs
@@ -1,38 +1,41 @@
-//! Whether a gateway tries an engine now, where other gateways know the same of it.
+//! Whether a gateway tries an engine now, given that other gateways see the same load.
 //!
-//! What one gateway sends, the others know a moment later. Until then each that has a request waiting finds
-//! the same engine empty. With few gateways that does little; of 149 that wait for the first engine in service
-//! each sends it a prompt, and the last first event comes seconds late. So a gateway tries an engine in only
-//! some of these moments, drawn for each engine and moment anew: as seldom as it takes for all gateways together
-//! to send about what there is room for.
+//! Other gateways learn of a request a moment after it is sent. Until then, every gateway that has a
+//! queued request sees the same engine as empty. With few gateways this has little effect; of 149
+//! that wait for the first engine in service, each sends it a prompt, and the last first event comes
+//! seconds late. A gateway therefore tries an engine only in some periods, drawn anew for each engine
+//! and period, with a probability at which all gateways together send about as many requests as the
+//! engine has capacity for.
 
 use std::time::Duration;
 
-/// Requests that are sent on average for each that there is room for, if every gateway has one waiting. With 1
-/// freed slots would stand empty for a moment too often.
-const TRIES: f64 = 2.0;
+/// Mean number of requests sent for each one that fits, if every gateway has one queued. With 1,
+/// freed slots would stay empty too often.
+const ATTEMPTS_PER_SLOT: f64 = 2.0;
 
-/// The same for engines of the own failure domain while a request has just arrived: in so short a moment one
-/// gateway in five has one. With [`TRIES`] 150 of 1,800 callers in 2 s were served late near full load that
-/// are in time with this.
-const TRIES_AT_ONCE: f64 = 8.0;
+/// Mean number of requests for engines of the own failure domain while a request has just arrived:
+/// in so short a time one gateway in five has one. With [`ATTEMPTS_PER_SLOT`], 150 of 1,800 callers
+/// in 2 s near full load were served late that are in time with this.
+const ARRIVAL_ATTEMPTS_PER_SLOT: f64 = 8.0;
 
-/// Time in which what a gateway has sent isn't known to others of its failure domain.
-const NEAR_MOMENT: Duration = Duration::from_millis(25);
+/// Time until a request is known to the other gateways of the failure domain.
+const NEAR_DRAW_PERIOD: Duration = Duration::from_millis(25);
 
-/// The same to those of other failure domains: a sum is told each 125 ms and passed on once.
-const FAR_MOMENT: Duration = Duration::from_millis(130);
+/// Time until a request is known to gateways of other failure domains: a sum is sent every 125 ms and
+/// relayed once.
+const FAR_DRAW_PERIOD: Duration = Duration::from_millis(130);
 
-/// How long a draw for an engine holds.
+/// Returns the period for which a draw for an engine holds.
 pub fn draw_period(is_far: bool) -> Duration {
     match is_far {
-        true => FAR_MOMENT,
-        false => NEAR_MOMENT,
+        true => FAR_DRAW_PERIOD,
+        false => NEAR_DRAW_PERIOD,
     }
 }
 
-/// Whether an engine with room for so many requests is tried by one of so many gateways that may, for a draw
-/// in 0..1; `waits` says whether the request has found no room before.
+/// Returns whether one of `gateways` gateways tries an engine with free capacity for
+/// `free_capacity` requests, for a random `draw` in 0..1. `has_waited` says whether the request has
+/// found no free capacity before.
 pub fn should_try(
     free_capacity: f64,
     gateways: usize,
@@ -40,9 +43,9 @@
     has_waited: bool,
     draw: f64,
 ) -> bool {
-    let tries = match is_far || has_waited {
-        true => TRIES,
-        false => TRIES_AT_ONCE,
+    let attempts = match is_far || has_waited {
+        true => ATTEMPTS_PER_SLOT,
+        false => ARRIVAL_ATTEMPTS_PER_SLOT,
     };
-    draw * (gateways as f64) < tries * free_capacity
+    draw * (gateways as f64) < attempts * free_capacity
 }
--- a/crates/decide/src/denial.rs
+++ b/crates/decide/src/denial.rs
@@ -1,38 +1,40 @@
-//! Whether a request may be denied by the configuration that is held.
+//! Whether a gateway may deny a request by its replica of the configuration.
 //!
-//! That a route or a key isn't in a copy says something about the configuration in force only as far as the
-//! copy is known to be in force. A change may be on its way for seconds: behind a narrow link, a reader that
-//! is slow, a connection that fell silent. To deny a proper request ends it for good, while its caller would
-//! come back after a refusal; so a denial needs a confirmation that is young enough, and where none can be had
-//! the request is refused. What a copy allows is served by a copy of any age.
+//! A route or key that is missing from a replica is missing from the configuration in force only if
+//! the replica is known to be current. A change may be in transit for seconds: behind a narrow link,
+//! a slow reader or an unresponsive connection. A wrong denial is final for a valid request, whereas
+//! a refused caller retries. A denial therefore needs a recent confirmation, and without one the
+//! request is refused. What a replica allows is served at any age of the replica.
 //!
-//! The load it answers: callers who err, or who try many routes and keys, ask for many denials a second. One
-//! confirmation holds for all of them for a while, and after one that failed they are refused at once.
+//! Expected load: callers with invalid requests, or that probe many routes and keys, cause many
+//! denials a second. One confirmation covers all of them for a while, and after a failed one they are
+//! refused at once.
 
 use std::time::{Duration, Instant};
 
-/// Largest age of a copy that denies, as a part of the time in which a change is to be in force. A request
-/// comes after the moment at which it was sent, so the whole of it would do; the rest is for what ages miss,
-/// such as a process that stands still between judging and answering. With a half, callers who err at every
-/// moment cost 120 calls to the store in a minute of three failure domains, beside 740.
-const OLDEST_PART: f64 = 0.75;
+/// Maximum age of a replica that denies, as a fraction of the time within which a change must be in
+/// force. A request arrives after it was sent, so the whole time would suffice; the remainder covers
+/// what ages miss, such as a process that stalls between the decision and the response. With 0.5,
+/// callers that send nothing but invalid requests cause 120 calls to the store a minute in three
+/// failure domains, in addition to 740.
+const MAX_AGE_FRACTION: f64 = 0.75;
 
-/// Time after a failed try to have the copy confirmed in which none is begun; the store is asked again about
-/// as often by all else while it is away.
-const FAILED_REST: Duration = Duration::from_millis(250);
+/// Time after a failed confirmation in which no other is started. While the store is unreachable, all
+/// other calls retry it about as often.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What to do with a request that the copy doesn't allow.
+/// Decision on a request that the replica doesn't allow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// The copy was confirmed lately: deny it.
+    /// Deny the request: the replica was confirmed recently.
     Deny,
-    /// Have the copy confirmed, and look again.
+    /// Have the replica confirmed, then look the request up again.
     Confirm,
-    /// Nothing has confirmed it just now: refuse it.
+    /// Refuse the request: the last confirmation has just failed.
     Refuse,
 }
 
-/// What is known of confirmations.
+/// Decides on denials by the age of the last confirmation.
 #[derive(Debug)]
 pub struct DenialPolicy {
     max_age: Duration,
@@ -40,30 +42,30 @@
 }
 
 impl DenialPolicy {
-    /// Denials where a change is to be in force within `config_time`.
+    /// Creates a policy where a change must be in force within `config_time`.
     pub fn new(config_time: Duration) -> DenialPolicy {
         DenialPolicy {
-            max_age: config_time.mul_f64(OLDEST_PART),
+            max_age: config_time.mul_f64(MAX_AGE_FRACTION),
             last_failure: None,
         }
     }
 
-    /// Largest age of a copy that denies.
+    /// Returns the maximum age of a replica that denies.
     pub fn max_age(&self) -> Duration {
         self.max_age
     }
 
-    /// What to do where the copy in force was confirmed `age` ago.
+    /// Returns the decision where the replica in force was confirmed `age` ago.
     pub fn decide(&self, age: Duration, now: Instant) -> Decision {
-        let rests = |failed: Instant| now.saturating_duration_since(failed) < FAILED_REST;
+        let is_recent = |failed: Instant| now.saturating_duration_since(failed) < RETRY_INTERVAL;
         match self.last_failure {
             _ if age <= self.max_age => Decision::Deny,
-            Some(failed) if rests(failed) => Decision::Refuse,
+            Some(failed) if is_recent(failed) => Decision::Refuse,
             _ => Decision::Confirm,
         }
     }
 
-    /// Notes that no confirmation could be had.
+    /// Records a failed confirmation.
     pub fn record_failure(&mut self, now: Instant) {
         self.last_failure = Some(now);
     }
--- a/crates/decide/src/draining.rs
+++ b/crates/decide/src/draining.rs
@@ -1,22 +1,23 @@
-//! Whether an upstream that is draining gets new requests.
+//! Whether a draining upstream gets new requests.
 //!
-//! An upstream announces its drain in its entry in the platform's list and in all of its answers. The list may be
-//! seconds behind, and doesn't change at all while the store accepts no writes, so the first announcement counts, and
-//! an entry that is still `ready` doesn't revoke it. A drain is final for an incarnation.
+//! An upstream announces its drain in its entry in the platform's list and in all of its responses.
+//! The list may be seconds behind, and doesn't change at all while the store accepts no writes.
+//! Therefore the first announcement counts, and an entry that is still `ready` doesn't revoke it. A
+//! drain is final for an incarnation.
 //!
-//! The load it is for: an upstream that is stopped as planned while the platform's store is away, with callers whose
-//! requests would break off with it.
+//! Expected load: an upstream stops as planned while the platform's store is unreachable, and callers
+//! would lose the requests that still run on it.
 
-/// What is known of an incarnation's drain.
+/// Drain announcements of an incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainState {
-    /// Whether its entry in the list announces it now.
+    /// Whether its entry in the list announces the drain now.
     pub listed: bool,
-    /// Whether any of its answers announced it.
+    /// Whether any of its responses announced the drain.
     pub advertised: bool,
 }
 
-/// Returns whether it may be sent a new request, be it a first try, a retry or a resumed stream.
+/// Returns whether an upstream accepts a new request: a first attempt, a retry or a resumed stream.
 pub fn accepts_requests(state: DrainState) -> bool {
     !state.listed && !state.advertised
 }
--- a/crates/decide/src/fanout.rs
+++ b/crates/decide/src/fanout.rs
@@ -1,57 +1,62 @@
-//! Who in a failure domain is told of a change of load at once.
+//! Gossip fan-out of load changes within a failure domain.
 //!
-//! If each gateway told all others of each change, datagrams would grow with the square of the gateways and
-//! work with it. Up to a number they do, since that is freshest. Where there are more, changes go to the first
-//! few, one of which gathers them for a moment and passes them on to all; whole notes go to all at longer
-//! intervals, so that a change that was lost is known then. While nothing is passed on, all are told again.
+//! If each gateway sent each change to all others, datagrams would grow with the square of the number
+//! of gateways, and CPU time with them. Small failure domains do so, since it gives the freshest
+//! loads. In larger ones changes go to the leaders, one of which batches and relays them to all. Full
+//! updates go to all gateways at longer intervals and repair lost changes. While no leader relays,
+//! changes go to all gateways again.
 
 use std::time::Duration;
 
-/// Other gateways up to which each tells all: 13 that change 20 times a second send 3,400 datagrams a second
-/// in a failure domain, 30 would send 17,400, and 1,200 by way of two.
+/// Maximum number of other gateways to which changes are sent directly: 13 gateways that change 20
+/// times a second send 3,400 datagrams a second in a failure domain; 30 would send 17,400, or 1,200
+/// through two leaders.
 const MAX_DIRECT: usize = 16;
 
-/// Gateways that changes go to where there are more: a second one passes them on when the first is lost.
+/// Number of gateways that receive changes in a larger failure domain. The second relays changes when
+/// the first is lost.
 pub const LEADERS: usize = 2;
 
-/// Time between a change and the note that tells it to all; changes meanwhile go into the same note.
+/// Delay of the update to all gateways after a change. Changes in between share the update.
 const DELAY_ALL: Duration = Duration::from_millis(15);
 
-/// The same to those that pass changes on, who gather them.
+/// Delay of the update to the leaders, which batch changes themselves.
 const DELAY_LEADERS: Duration = Duration::from_millis(3);
 
-/// Time in which changes are gathered before they are passed on. Near full load what is known later is paid
-/// with prompts that meet at one engine: with 40 ms here and 15 ms before it, 90 in 100 first events came
-/// within 0.87 s, where they came within 0.57 s as long as all told all.
+/// Time for which changes are batched before they are relayed. Near full load, outdated loads make
+/// prompts of several gateways meet at one engine: with 40 ms here and a delay of 15 ms before it, 90
+/// in 100 first events came within 0.87 s, compared with 0.57 s while every gateway sent to all.
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest time between two notes: to all where each tells all, else to those that pass on that their sender
-/// is up. One that isn't heard for 1 s counts as gone.
+/// Maximum time between two updates to the receivers of changes: all gateways, or the leaders, which
+/// relay that the sender is up. A gateway that isn't heard from for 1 s counts as unreachable.
 pub const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Least of the longest time between two whole notes to all where changes are passed on: what they mend is a
-/// change that was lost on its way, and the next change of the same upstream mends that too.
+/// Minimum interval between two full updates to all gateways while changes are relayed. A full update
+/// repairs a lost change, but so does the next change of the same upstream.
 const MIN_FULL_INTERVAL: Duration = Duration::from_millis(1300);
 
-/// The same for each other gateway, so that a gateway sends and receives no more whole notes a second in a larger
-/// failure domain.
+/// Interval between two full updates for each other gateway, so that the number that a gateway sends
+/// and receives per second doesn't grow with the failure domain.
 const FULL_INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(26);
 
-/// Time between two looks of a gateway whether it falls to it to pass changes on, by how soon it may.
-const RECHECK_STANDBY: Duration = Duration::from_millis(100);
-const RECHECK_OTHERS: Duration = Duration::from_millis(500);
+/// Interval at which a leader checks whether it should relay changes.
+const RECHECK_LEADER: Duration = Duration::from_millis(100);
 
-/// Who is told.
+/// Interval at which any other gateway checks whether it should relay changes.
+const RECHECK_OTHER: Duration = Duration::from_millis(500);
+
+/// Receivers of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FanOut {
     /// All gateways of the failure domain.
     All,
-    /// The first few of them.
+    /// The leaders of the failure domain.
     Leaders,
 }
 
-/// Whom a change of load is told, among so many other gateways of the failure domain; `is_relayed` says
-/// whether changes are being passed on.
+/// Returns the receivers of a load change, given the number of other gateways in the failure domain
+/// and whether a leader relays changes.
 pub fn change_fan_out(others: usize, is_relayed: bool) -> FanOut {
     match others > MAX_DIRECT && is_relayed {
         true => FanOut::Leaders,
@@ -59,7 +64,7 @@
     }
 }
 
-/// Time between a change and the note that tells it.
+/// Returns the time between a change and its update.
 pub fn batch_delay(fan_out: FanOut) -> Duration {
     match fan_out {
         FanOut::All => DELAY_ALL,
@@ -67,21 +72,23 @@
     }
 }
 
-/// Whether a gateway of this rank passes changes on: the first does, the next where that one doesn't.
+/// Returns whether a gateway of this rank should relay changes: the first leader does, and the next
+/// one if no other gateway does.
 pub fn should_relay(others: usize, rank: usize, is_relayed: bool) -> bool {
-    let is_turn = rank == 0 || !is_relayed;
-    others > MAX_DIRECT && rank < LEADERS && is_turn
+    let is_next = rank == 0 || !is_relayed;
+    others > MAX_DIRECT && rank < LEADERS && is_next
 }
 
-/// When a gateway of this rank, to which it doesn't fall now, looks again whether it is to pass changes on.
+/// Returns the time after which a gateway of this rank that isn't relaying checks again whether it
+/// should.
 pub fn recheck_interval(rank: usize) -> Duration {
     match rank < LEADERS {
-        true => RECHECK_STANDBY,
-        false => RECHECK_OTHERS,
+        true => RECHECK_LEADER,
+        false => RECHECK_OTHER,
     }
 }
 
-/// Longest time between two whole notes to all.
+/// Returns the maximum interval between two full updates to all gateways.
 pub fn full_update_interval(others: usize) -> Duration {
     match u32::try_from(others) {
         _ if others <= MAX_DIRECT => MAX_UPDATE_INTERVAL,
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,25 +1,26 @@
-//! Decisions under load: who is served next, where, who is refused, and when to come back.
+//! Decisions under load: which request runs next and where, which are refused, and when to retry.
 //!
-//! Plain structs and functions over counters and an [`Instant`](std::time::Instant) that is handed in,
-//! without a network, tasks or a clock of their own, so that a test can play any load against them.
+//! Plain structs and functions over counters and an [`Instant`](std::time::Instant) that the caller
+//! passes in. They use no network, tasks or clock, so that tests can simulate any load.
 //!
-//! - [`attempt_age`]: how long ago a caller first asked, and so whether it can still be served in its objective.
-//! - [`fanout`]: which gateways of a failure domain are told of a change of load at once.
-//! - [`back_off`]: how long an upstream that rejected a request gets no others.
-//! - [`contention`]: whether an engine is tried now that other gateways know the same of.
-//! - [`draining`]: whether an upstream that is draining gets new requests.
-//! - [`queue`]: requests that wait, for how long, and which of them is next.
-//! - [`load_balancing`]: the upstream of a request.
-//! - [`retry_after`]: when a caller that is refused is told to come back.
-//! - [`denial`]: whether a request may be denied by the configuration that is held.
-//! - [`outlier_detection`]: which upstreams are left alone, since they fail most of what they get.
-//! - [`quarantine`]: which requests are tried with care or held back, since upstreams ended under them.
-//! - [`rate_limit`]: how fast an upstream that advertises a rate limit gets requests.
-//! - [`readers`]: which gateways of a failure domain read the store, and when.
-//! - [`residency`]: in which failure domains a request may run.
-//! - [`retry_budget`]: the budget of requests sent again.
-//! - [`senders`]: which gateways send to an upstream that may get only a few requests a second.
-//! - [`slow_start`]: how fast a cold upstream gets requests.
+//! - [`attempt_age`]: age of a caller's first attempt, and so whether its objective can still be met.
+//! - [`fanout`]: gateways of a failure domain that a change of load is sent to at once.
+//! - [`back_off`]: time for which an upstream that rejected a request gets no others.
+//! - [`contention`]: whether to try an engine that other gateways see as equally free.
+//! - [`draining`]: whether a draining upstream gets new requests.
+//! - [`queue`]: order and maximum wait of queued requests.
+//! - [`load_balancing`]: choice of the upstream for a request.
+//! - [`retry_after`]: time after which a refused caller should retry.
+//! - [`denial`]: whether the local replica of the configuration may deny a request.
+//! - [`outlier_detection`]: upstreams that are avoided because they fail most of their requests.
+//! - [`quarantine`]: requests that run on trial or are quarantined because upstreams exited under
+//!   them.
+//! - [`rate_limit`]: request rate to an upstream that advertises a rate limit.
+//! - [`readers`]: gateways of a failure domain that read the store, and when.
+//! - [`residency`]: failure domains in which a request may run.
+//! - [`retry_budget`]: budget of retries.
+//! - [`senders`]: gateways that send to an upstream limited to a few requests a second.
+//! - [`slow_start`]: request rate to a cold upstream.
 
 #![deny(clippy::disallowed_methods)]
 
@@ -41,14 +42,15 @@
 pub mod senders;
 pub mod slow_start;
 
-/// Whether a request can still be served within its objective, counted from its caller's first try.
+/// Whether a request can still meet its objective, counted from its caller's first attempt.
 ///
-/// In overload each late answer takes the place of one in time: as many callers are refused, whoever goes
-/// first. So those that can be in time go first, and late ones get what they leave over.
+/// In overload each late response takes the capacity of one in time, and the same number of callers
+/// is refused in any order. Requests that can be in time therefore go first, and late ones get the
+/// remaining capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeadlineClass {
-    /// It can be served in time.
+    /// The request can meet its objective.
     OnTime,
-    /// Its objective has passed or will have by the first event.
+    /// The objective has passed, or will have passed by the first event.
     Late,
 }
--- a/crates/decide/src/load_balancing.rs
+++ b/crates/decide/src/load_balancing.rs
@@ -1,113 +1,114 @@
-//! The upstream of a request.
+//! Load balancing: choice of the upstream for a request.
 //!
-//! An upstream is full when as many requests run there as it has slots, counting those of other gateways
-//! as they last told, or when so many prompts wait to be read that the first event would come too late.
-//! Late requests find it full a little earlier. Of those with room the one with the least in flight is
-//! taken; the own failure domain goes first among equals, and an engine that is to leave service before
-//! the request would end comes last.
+//! An upstream is full when the requests in flight there, including those that other gateways last
+//! reported, take all of its slots, or when so many prompts wait to be read that the first event
+//! would be late. For late requests it is full a little earlier. Among upstreams with free capacity
+//! the one with the least in flight is chosen. The own failure domain is preferred among equals, and
+//! an engine that leaves service before the request would complete comes last.
 
 use std::time::Duration;
 
-/// Prompt tokens that weigh as much as one running request: what an engine reads in the time in which it
-/// makes a third of an answer. 200 and 700 serve alike.
+/// Prompt tokens that cost as much as one running request: what an engine reads in the time in which
+/// it generates a third of an answer. 200 and 700 serve alike.
 pub const TOKENS_PER_REQUEST: f64 = 700.0;
 
-/// Weight of crossing into another failure domain, in requests: the bytes of a stream between regions
-/// are priced at some 2% of its worth, and take a part of a link of 20 to 27 Mbit/s.
-const OTHER_DOMAIN: f64 = 2.5;
+/// Cost, in requests, of crossing into another failure domain: the bytes of a stream between regions
+/// are priced at some 2% of its value and use part of a link of 20 to 27 Mbit/s.
+const CROSS_DOMAIN_COST: f64 = 2.5;
 
-/// Random part of a weight, in requests, so that gateways that know the same don't all choose the same
+/// Random part of a cost, in requests, so that gateways with the same view don't all choose the same
 /// upstream.
 pub const JITTER: f64 = 0.3;
 
-/// Part of the objective that prompts ahead may take. Half of it serves 0.02 of a quiet day less.
-const UNREAD_PART: f64 = 0.25;
+/// Fraction of the objective that prompts ahead may take. Half of it serves 0.02 of a quiet day less.
+const UNREAD_FRACTION: f64 = 0.25;
 
-/// Weight of each second that a request is expected to run after its engine is to leave service for
-/// new weights, in requests: the engine has to end it first, with all of its other slots empty.
-const OVERRUN: f64 = 4.0;
+/// Cost, in requests, of each second for which a request is expected to run after its engine is due
+/// to leave service for new weights: the engine has to complete it first, with all of its other slots
+/// empty.
+const OVERRUN_COST: f64 = 4.0;
 
-/// Time in which an engine with a full batch makes one token.
+/// Time in which an engine with a full batch generates one token.
 const TOKEN_TIME: Duration = Duration::from_millis(12);
 
-/// Requests that a plain service may have in flight, against its slots.
+/// Maximum requests in flight at a plain service, as a multiple of its slots.
 const PLAIN_FILL: f64 = 2.0;
 
-/// Part of an engine's slots that late requests leave free, for those that can be in time and arrive
-/// at any gateway meanwhile. In overload no engine has so much room, so late requests get nothing; as soon
-/// as it ends they get all but this.
+/// Fraction of an engine's slots that late requests leave free for on-time requests, which may arrive
+/// at any gateway meanwhile. In overload no engine has that much free capacity, so late requests get
+/// nothing; after the overload they get all but this fraction.
 const LATE_RESERVE: f64 = 0.125;
 
-/// How an upstream stands.
+/// State of an upstream that may be chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// Requests it works on at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Requests in flight there, of all gateways.
+    /// Requests in flight there from all gateways.
     pub requests: u32,
-    /// Their prompt tokens that aren't read yet.
+    /// Prompt tokens of these requests that aren't read yet.
     pub unread: u64,
-    /// Those of this gateway alone.
+    /// Unread prompt tokens of this gateway's requests alone.
     pub own_unread: u64,
     /// Whether it is in another failure domain.
     pub is_far: bool,
-    /// Time until it is to leave service for new weights.
+    /// Time until it is due to leave service for new weights.
     pub leaves_in: Option<Duration>,
 }
 
-/// What a request asks of an upstream.
+/// Requirements of a request on its upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Requirements {
-    /// Whether it can still be in time.
+    /// Whether the request can still be in time.
     pub deadline_class: crate::DeadlineClass,
-    /// Time within which its first event is of full use.
+    /// Time within which the first event has its full value.
     pub objective: Duration,
     /// Prompt tokens that an engine reads in a second; `None` for a plain service.
     pub prompt_rate: Option<f64>,
-    /// Tokens that are expected to be generated.
+    /// Expected number of generated tokens.
     pub expected_tokens: u64,
     /// Whether this gateway is the only one.
     pub is_only_gateway: bool,
 }
 
 impl Requirements {
-    /// What is in flight at a candidate, in requests; `None` where it is full.
+    /// Returns the cost of a candidate, in requests in flight, or `None` if it is full.
     pub fn cost(&self, candidate: &Candidate) -> Option<f64> {
         if self.is_full(candidate) {
             return None;
         }
         let far = match candidate.is_far {
-            true => OTHER_DOMAIN,
+            true => CROSS_DOMAIN_COST,
             false => 0.0,
         };
         let unread = candidate.unread as f64 / TOKENS_PER_REQUEST;
-        let overrun = OVERRUN * self.overrun(candidate).as_secs_f64();
+        let overrun = OVERRUN_COST * self.overrun(candidate).as_secs_f64();
         Some(f64::from(candidate.requests) + unread + far + overrun)
     }
 
-    /// Requests like this one that an engine has room for, by its slots and by prompts that can be read in
-    /// time; endless for a plain service.
+    /// Returns the number of requests like this one that an engine has capacity for, limited by its
+    /// slots and by the prompts that it can read in time. It is infinite for a plain service.
     pub fn free_capacity(&self, candidate: &Candidate) -> f64 {
         let Some(rate) = self.prompt_rate else {
             return f64::INFINITY;
         };
         let slots = candidate.slots.saturating_sub(candidate.requests);
-        let readable = rate * self.objective.as_secs_f64() * UNREAD_PART;
+        let readable = rate * self.objective.as_secs_f64() * UNREAD_FRACTION;
         let unread = (readable - candidate.unread as f64) / TOKENS_PER_REQUEST;
         f64::from(slots).min(unread.max(0.0))
     }
 
     fn is_full(&self, candidate: &Candidate) -> bool {
         let Some(rate) = self.prompt_rate else {
-            let most = f64::from(candidate.slots) * PLAIN_FILL;
-            return f64::from(candidate.requests) >= most;
+            let max = f64::from(candidate.slots) * PLAIN_FILL;
+            return f64::from(candidate.requests) >= max;
         };
         candidate.requests + self.reserve(candidate) >= candidate.slots
-            || self.waits_long(candidate, rate)
-            || self.reads_own(candidate)
+            || self.is_read_late(candidate, rate)
+            || self.has_own_unread(candidate)
     }
 
-    /// Slots that are left free.
+    /// Returns the number of slots that stay free.
     fn reserve(&self, candidate: &Candidate) -> u32 {
         match self.deadline_class {
             crate::DeadlineClass::OnTime => 0,
@@ -115,23 +116,25 @@
         }
     }
 
-    fn waits_long(&self, candidate: &Candidate, rate: f64) -> bool {
+    /// Returns whether the prompts ahead take too much of the objective.
+    fn is_read_late(&self, candidate: &Candidate, rate: f64) -> bool {
         let ahead = candidate.unread as f64 / rate.max(1.0);
-        ahead > self.objective.as_secs_f64() * UNREAD_PART
+        ahead > self.objective.as_secs_f64() * UNREAD_FRACTION
     }
 
-    /// Whether a gateway that isn't alone has a prompt at the engine that isn't read yet. Several
-    /// gateways may find an engine empty at the same moment; with one prompt each it isn't swamped.
-    fn reads_own(&self, candidate: &Candidate) -> bool {
+    /// Returns whether this gateway, if not the only one, has an unread prompt at the engine. Several
+    /// gateways may find an engine empty at the same time; with one prompt of each it isn't
+    /// overloaded.
+    fn has_own_unread(&self, candidate: &Candidate) -> bool {
         candidate.own_unread > 0 && !self.is_only_gateway
     }
 
-    /// How long the request is expected to run after its engine is to leave service.
+    /// Returns how long the request is expected to run after its engine is due to leave service.
     fn overrun(&self, candidate: &Candidate) -> Duration {
-        let Some(left) = candidate.leaves_in else {
+        let Some(remaining) = candidate.leaves_in else {
             return Duration::ZERO;
         };
-        let runs = TOKEN_TIME * u32::try_from(self.expected_tokens).unwrap_or(u32::MAX);
-        runs.saturating_sub(left)
+        let run_time = TOKEN_TIME * u32::try_from(self.expected_tokens).unwrap_or(u32::MAX);
+        run_time.saturating_sub(remaining)
     }
 }
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -1,19 +1,20 @@
-//! Requests under which upstreams end.
+//! Quarantine of requests under which upstreams exit.
 //!
-//! A request may end the process of each upstream that begins it. Its caller comes back with it, through any
-//! gateway, so nothing that is known of one attempt helps. What is kept here is known by the request's
-//! fingerprint and shared by all gateways: under which lives of upstreams it was at work as they ended, whether
-//! it has run to its end since, and where it is being tried now.
+//! A request may terminate the process of every upstream that starts to run it. Its caller retries
+//! it through any gateway, so the state of a single attempt doesn't help. The state here is keyed by
+//! the request's fingerprint and shared by all gateways: the upstream incarnations that exited while
+//! they ran the request, whether it has completed since, and where it is on trial now.
 //!
-//! The load it answers: engines run 8 to 16 requests at once, and each that ends breaks all of them off. One of
-//! them did it; the others did no harm and end well at the next upstream, nearly always. So after the first end
-//! all of them are suspects, and each is run again, at one place in the whole fleet at a time, away from other
-//! suspects. One that runs to its end is cleared. The one that ends a second upstream takes no suspect with it
-//! that it met before, a third proves it, and it is held back. An outage that ends a seventh of all engines
-//! twice leaves a harmless request with two ends at most, if it was at work in both.
+//! Expected load: an engine runs 8 to 16 requests at once, and its exit interrupts all of them. One of
+//! them is the cause; the others are harmless, and nearly all of them complete at the next upstream.
+//! After the first exit all of them are suspects, and each is run again, at one upstream in the whole
+//! fleet at a time, away from other suspects. A request that completes is cleared. When the cause
+//! makes a second upstream exit, none of the suspects that it met before runs there; the third exit
+//! proves it, and it is quarantined. An outage that terminates a seventh of all engines twice leaves a
+//! harmless request with at most two exits, if it was running in both.
 //!
-//! Cases are merged, not replaced: news may come late, twice, in any order, or not at all, and gateways that
-//! have heard the same decide alike.
+//! States are merged, not replaced: updates may arrive late, twice, in any order, or not at all, and
+//! gateways that received the same updates make the same decisions.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -21,91 +22,92 @@
 
 use base::{Fingerprint, LifeId, Map};
 
-/// Ends after which a request is held back. Two may be chance: of the requests at a seventh of the engines that
-/// an outage ends, a seventh meets the next outage too.
+/// Number of exits after which a request is quarantined. Two may be chance: of the requests at a
+/// seventh of the engines that an outage terminates, a seventh meets the next outage too.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
-/// Ends kept of a case, the latest. They tell how long it is held back.
+/// Maximum number of exits retained for a request, the latest. Their count determines how long it is
+/// quarantined.
 pub const MAX_EXITS: usize = 8;
 
-/// Most cases kept. One takes some 0.5 KB, and a failure domain of 800 engines that ends breaks off 6,400 to
-/// 12,800 requests at 20 or so gateways.
+/// Maximum number of requests with a state. One state takes some 0.5 KB, and when a failure domain of
+/// 800 engines goes down, it interrupts 6,400 to 12,800 requests at 20 or so gateways.
 pub const MAX_SUSPECTS: usize = 4096;
 
-/// Cases dropped where there are too many, so that they aren't sorted for each.
+/// Number of states evicted at once, so that they aren't sorted for each insertion.
 const EVICTION_BATCH: usize = MAX_SUSPECTS / 8;
 
-/// Time after an end in which the request isn't tried again, so that news of the same request from elsewhere
-/// arrives: a few ms within a failure domain, up to 15 between regions. A stream that goes on after it
-/// pauses for so much longer, of 400 ms that it may.
+/// Time after an exit in which the request isn't run again, so that updates on it from other gateways
+/// arrive: within a few ms in a failure domain, and up to 15 ms between regions. A stream that resumes
+/// stalls for this much longer, out of 400 ms that it may stall.
 const SETTLE_TIME: Duration = Duration::from_millis(50);
 
-/// Time after which a trial that nothing was heard of counts as over; its gateway may be gone. The longest
-/// streams take 4 s.
+/// Time after which a trial without updates counts as over, since its gateway may be down. The
+/// longest streams take 4 s.
 const TRIAL_TIME: Duration = Duration::from_secs(5);
 
-/// Time for which it is remembered that a request was cleared: longer than news takes that came late.
+/// Time for which the state of a cleared request is retained: longer than late updates take.
 const CLEARED_TIME: Duration = Duration::from_secs(30);
 
-/// Most doublings of the time for which a request is held back.
+/// Maximum number of doublings of the quarantine time.
 const MAX_DOUBLINGS: u32 = (MAX_EXITS - QUARANTINE_THRESHOLD) as u32;
 
-/// An upstream that ended while a request was at work there.
+/// Exit of an upstream while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamExit {
-    /// Life of the upstream that ended.
+    /// Incarnation that exited.
     pub incarnation: LifeId,
-    /// When.
+    /// Time of the exit.
     pub at: Instant,
 }
 
-/// A run of a suspect that may show what it does.
+/// Trial run of a suspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Trial {
-    /// Grows with each trial of the request.
+    /// Number that increases with each trial of the request.
     pub number: u32,
-    /// Where it runs; `None` once it's over.
+    /// Upstream that runs it; `None` once the trial is over.
     pub upstream: Option<SocketAddr>,
-    /// When it began.
+    /// Start time.
     pub started: Instant,
 }
 
-/// What is known of a request.
+/// Shared state of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SuspectState {
-    /// Ends since it last ran to its end, the earliest first.
+    /// Exits since the request last completed, the earliest first.
     pub exits: Vec<UpstreamExit>,
-    /// When it last ran to its end.
+    /// When the request last completed.
     pub completed: Option<Instant>,
-    /// Its latest trial.
+    /// Latest trial.
     pub trial: Option<Trial>,
 }
 
-/// What to do with a request.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing is held against it.
+    /// The request isn't a suspect and may run anywhere.
     Allow,
-    /// It may be run, on trial.
+    /// The request may run on trial.
     Trial(Isolation),
-    /// It may be tried from a moment on.
+    /// The request may run on trial from this time on.
     WaitUntil(Instant),
-    /// It is being tried elsewhere.
+    /// The request is on trial at another place.
     InTrial,
-    /// It is held back until a moment.
+    /// The request is quarantined until this time.
     Quarantined(Instant),
 }
 
-/// How a suspect is placed.
+/// Isolation of a suspect from other suspects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Isolation {
-    /// Away from other suspects where there is room.
+    /// Away from other suspects where there is free capacity.
     Preferred,
-    /// Nowhere where another suspect runs.
+    /// Only at an upstream without other suspects.
     Required,
 }
 
-/// All suspects.
+/// States of all suspects.
 #[derive(Debug)]
 pub struct Quarantine {
     hold_time: Duration,
@@ -113,8 +115,8 @@
 }
 
 impl Quarantine {
-    /// No cases yet. A request that has ended [`QUARANTINE_THRESHOLD`] upstreams is held back for `hold_time`, and for
-    /// twice as long each time that it ends one more when it's tried again.
+    /// Creates an empty quarantine. A request with [`QUARANTINE_THRESHOLD`] exits is quarantined for
+    /// `hold_time`, and for twice as long after each further exit in a trial.
     pub fn new(hold_time: Duration) -> Quarantine {
         Quarantine {
             hold_time,
@@ -122,68 +124,65 @@
         }
     }
 
-    /// Whether nothing is held against any request.
+    /// Returns whether there is no state of any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Requests with a case.
+    /// Returns the number of requests with a state.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// What is known of a request.
+    /// Returns the state of a request.
     pub fn suspect(&self, request: &Fingerprint) -> Option<&SuspectState> {
         self.suspects.get(request)
     }
 
-    /// All that something is held against, in no order.
+    /// Returns all suspects, the requests with at least one exit, in arbitrary order.
     pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, &SuspectState)> {
-        let open = self
-            .suspects
-            .iter()
-            .filter(|(_, case)| !case.exits.is_empty());
-        open.map(|(request, case)| (*request, case))
+        let open = self.suspects.iter().filter(|(_, s)| !s.exits.is_empty());
+        open.map(|(request, state)| (*request, state))
     }
 
-    /// The same, those with most ends first, the latest first among equals.
+    /// Returns all suspects, those with the most exits first, and the latest first among equals.
     pub fn most_severe(&self) -> Vec<(Fingerprint, &SuspectState)> {
         let mut all: Vec<_> = self.suspects().collect();
-        all.sort_unstable_by_key(|(request, case)| Reverse((severity(case), *request)));
+        all.sort_unstable_by_key(|(request, state)| Reverse((severity(state), *request)));
         all
     }
 
-    /// What to do with a request now.
+    /// Returns the decision on a request now.
     pub fn decide(&self, request: &Fingerprint, now: Instant) -> Decision {
-        let Some(case) = self.suspects.get(request) else {
+        let Some(state) = self.suspects.get(request) else {
             return Decision::Allow;
         };
-        let Some(last) = case.exits.last() else {
+        let Some(last) = state.exits.last() else {
             return Decision::Allow;
         };
-        let held_until = case.held_until(self.hold_time);
+        let quarantined_until = state.quarantined_until(self.hold_time);
         let settled = last.at + SETTLE_TIME;
-        match held_until {
+        match quarantined_until {
             Some(until) if now < until => Decision::Quarantined(until),
-            _ if case.is_tried(now) => Decision::InTrial,
+            _ if state.is_in_trial(now) => Decision::InTrial,
             _ if now < settled => Decision::WaitUntil(settled),
-            _ if case.exits.len() > 1 => Decision::Trial(Isolation::Required),
+            _ if state.exits.len() > 1 => Decision::Trial(Isolation::Required),
             _ => Decision::Trial(Isolation::Preferred),
         }
     }
 
-    /// Whether a request is held back now.
+    /// Returns whether a request is quarantined now.
     pub fn is_quarantined(&self, request: &Fingerprint, now: Instant) -> bool {
         matches!(self.decide(request, now), Decision::Quarantined(_))
     }
 
-    /// Upstreams where suspects are being tried.
+    /// Returns the upstreams that run suspects on trial.
     pub fn trial_upstreams(&self, now: Instant) -> Vec<SocketAddr> {
-        let tried = self.suspects.values().filter(|case| case.is_tried(now));
-        tried.filter_map(|case| case.trial?.upstream).collect()
+        let in_trial = self.suspects.values().filter(|s| s.is_in_trial(now));
+        in_trial.filter_map(|s| s.trial?.upstream).collect()
     }
 
-    /// Begins a trial; its number, or `None` where the request may not be tried now.
+    /// Begins a trial and returns its number, or `None` if the request may not be on trial now.
     pub fn begin_trial(
         &mut self,
         request: &Fingerprint,
@@ -193,9 +192,9 @@
         if !matches!(self.decide(request, now), Decision::Trial(_)) {
             return None;
         }
-        let case = self.suspects.get_mut(request)?;
-        let number = case.trial.map_or(0, |t| t.number).saturating_add(1);
-        case.trial = Some(Trial {
+        let state = self.suspects.get_mut(request)?;
+        let number = state.trial.map_or(0, |t| t.number).saturating_add(1);
+        state.trial = Some(Trial {
             number,
             upstream: Some(upstream),
             started: now,
@@ -203,86 +202,90 @@
         Some(number)
     }
 
-    /// Whether a trial is the one under way, once others that began at the same moment are known of.
+    /// Returns whether a trial is the current one, once trials that other gateways began at the same
+    /// time are known.
     pub fn is_current_trial(
         &self,
         request: &Fingerprint,
         number: u32,
         upstream: SocketAddr,
     ) -> bool {
-        let trial = self.suspects.get(request).and_then(|c| c.trial);
+        let trial = self.suspects.get(request).and_then(|s| s.trial);
         trial.is_some_and(|t| t.number == number && t.upstream == Some(upstream))
     }
 
-    /// Ends a trial that showed nothing; `true` where it was under way.
+    /// Ends a trial without a result; returns whether it was the current one.
     pub fn end_trial(&mut self, request: &Fingerprint, number: u32, upstream: SocketAddr) -> bool {
-        let was_under_way = self.is_current_trial(request, number, upstream);
-        if let Some(case) = self.suspects.get_mut(request).filter(|_| was_under_way) {
-            case.trial = case.trial.map(Trial::over);
+        let was_current = self.is_current_trial(request, number, upstream);
+        if let Some(state) = self.suspects.get_mut(request).filter(|_| was_current) {
+            state.trial = state.trial.map(Trial::ended);
         }
-        was_under_way
+        was_current
     }
 
-    /// Notes that an upstream ended while a request was at work there; `true` where that is news.
+    /// Records that an upstream exited while it ran a request; returns whether that is new.
     pub fn record_exit(
         &mut self,
         request: Fingerprint,
         upstream: SocketAddr,
         exit: UpstreamExit,
     ) -> bool {
-        let trial = self.suspects.get(&request).and_then(|c| c.trial);
-        let over = |trial: Trial| match trial.upstream == Some(upstream) {
-            true => trial.over(),
+        let trial = self.suspects.get(&request).and_then(|s| s.trial);
+        let ended = |trial: Trial| match trial.upstream == Some(upstream) {
+            true => trial.ended(),
             false => trial,
         };
-        let case = SuspectState {
+        let state = SuspectState {
             exits: vec![exit],
             completed: None,
-            trial: trial.map(over),
+            trial: trial.map(ended),
         };
-        self.merge(request, case)
+        self.merge(request, state)
     }
 
-    /// Notes that a request ran to its end; `true` where something was held against it.
+    /// Records that a request completed; returns whether it was a suspect.
     pub fn record_completion(&mut self, request: &Fingerprint, now: Instant) -> bool {
-        let Some(case) = self.suspects.get(request).filter(|c| !c.exits.is_empty()) else {
+        let Some(state) = self.suspects.get(request).filter(|s| !s.exits.is_empty()) else {
             return false;
         };
         let cleared = SuspectState {
             exits: Vec::new(),
             completed: Some(now),
-            trial: case.trial.map(Trial::over),
+            trial: state.trial.map(Trial::ended),
         };
         self.merge(*request, cleared)
     }
 
-    /// Takes what another gateway knows of a request; `true` where anything of it is news.
+    /// Merges another gateway's state of a request; returns whether anything in it is new.
     pub fn merge(&mut self, request: Fingerprint, other: SuspectState) -> bool {
         let known = self.suspects.get(&request).cloned().unwrap_or_default();
         let merged = known.clone().merged(other);
         if merged.exits.is_empty() && merged.completed.is_none() {
             return false;
         }
-        let is_news = !merged.is_like(&known);
+        let is_new = !merged.is_equivalent(&known);
         self.suspects.insert(request, merged);
         self.evict();
-        is_news
+        is_new
     }
 
-    /// Forgets cases that are over.
+    /// Removes states that have expired.
     pub fn expire(&mut self, now: Instant) {
         let hold_time = self.hold_time;
         self.suspects
-            .retain(|_, case| match (case.exits.last(), case.completed) {
-                // As long again as it was held back, so that one more end counts with those before.
-                (Some(last), _) => now < case.held_until(hold_time).unwrap_or(last.at) + hold_time,
+            .retain(|_, state| match (state.exits.last(), state.completed) {
+                // Retained for one more hold time after the quarantine, so that one more exit counts
+                // with those before.
+                (Some(last), _) => {
+                    now < state.quarantined_until(hold_time).unwrap_or(last.at) + hold_time
+                }
                 (None, Some(completed)) => now < completed + CLEARED_TIME,
                 (None, None) => false,
             });
     }
 
-    /// Drops the cases whose loss does least harm where there are too many: those that are cleared, then those
-    /// with the fewest ends, then the oldest.
+    /// Evicts the least important states if there are too many: cleared ones, then those with the
+    /// fewest exits, then the oldest.
     fn evict(&mut self) {
         if self.suspects.len() <= MAX_SUSPECTS {
             return;
@@ -290,7 +293,7 @@
         let mut all: Vec<_> = self
             .suspects
             .iter()
-            .map(|(r, c)| (severity(c), *r))
+            .map(|(r, s)| (severity(s), *r))
             .collect();
         all.sort_unstable();
         for (_, request) in all.into_iter().take(EVICTION_BATCH) {
@@ -299,13 +302,13 @@
     }
 }
 
-/// What weighs a case against others.
-fn severity(case: &SuspectState) -> (usize, Option<Instant>) {
-    (case.exits.len(), case.exits.last().map(|exit| exit.at))
+/// Returns the severity of a state: the number of exits, then the time of the last.
+fn severity(state: &SuspectState) -> (usize, Option<Instant>) {
+    (state.exits.len(), state.exits.last().map(|exit| exit.at))
 }
 
 impl Trial {
-    fn over(self) -> Trial {
+    fn ended(self) -> Trial {
         Trial {
             upstream: None,
             ..self
@@ -314,38 +317,39 @@
 }
 
 impl SuspectState {
-    fn is_tried(&self, now: Instant) -> bool {
-        let lasts = |t: &Trial| now.saturating_duration_since(t.started) < TRIAL_TIME;
+    fn is_in_trial(&self, now: Instant) -> bool {
+        let is_running = |t: &Trial| now.saturating_duration_since(t.started) < TRIAL_TIME;
         self.trial
-            .is_some_and(|t| t.upstream.is_some() && lasts(&t))
+            .is_some_and(|t| t.upstream.is_some() && is_running(&t))
     }
 
-    /// Until when it is held back, if it is.
-    fn held_until(&self, hold_time: Duration) -> Option<Instant> {
-        let more = self.exits.len().checked_sub(QUARANTINE_THRESHOLD)?;
-        let doublings = u32::try_from(more).map_or(MAX_DOUBLINGS, |n| n.min(MAX_DOUBLINGS));
+    /// Returns the end of the quarantine, or `None` if there are too few exits for one.
+    fn quarantined_until(&self, hold_time: Duration) -> Option<Instant> {
+        let excess = self.exits.len().checked_sub(QUARANTINE_THRESHOLD)?;
+        let doublings = u32::try_from(excess).map_or(MAX_DOUBLINGS, |n| n.min(MAX_DOUBLINGS));
         let last = self.exits.last()?;
         Some(last.at + hold_time * 2_u32.pow(doublings))
     }
 
-    /// Whether two differ by times alone, which are never quite the same: news takes a while.
-    fn is_like(&self, other: &SuspectState) -> bool {
-        let lives = |case: &SuspectState| -> Vec<LifeId> {
-            case.exits.iter().map(|e| e.incarnation).collect()
+    /// Returns whether two states differ at most in times, which are never quite the same: updates
+    /// take a while to arrive.
+    fn is_equivalent(&self, other: &SuspectState) -> bool {
+        let incarnations = |state: &SuspectState| -> Vec<LifeId> {
+            state.exits.iter().map(|e| e.incarnation).collect()
         };
-        let trial = |case: &SuspectState| case.trial.map(|t| (t.number, t.upstream));
-        lives(self) == lives(other)
+        let trial = |state: &SuspectState| state.trial.map(|t| (t.number, t.upstream));
+        incarnations(self) == incarnations(other)
             && self.completed.is_some() == other.completed.is_some()
             && trial(self) == trial(other)
     }
 
-    /// What two gateways know of a request, put together.
+    /// Merges the states of two gateways.
     fn merged(self, other: SuspectState) -> SuspectState {
         let completed = self.completed.max(other.completed);
         let mut exits = self.exits;
         for exit in other.exits {
             match exits.iter_mut().find(|e| e.incarnation == exit.incarnation) {
-                // News of an end is never older than the end itself, so the earlier time is nearer to it.
+                // An update never dates an exit before it happened, so the earlier time is closer.
                 Some(known) => known.at = known.at.min(exit.at),
                 None => exits.push(exit),
             }
@@ -356,14 +360,14 @@
         SuspectState {
             exits,
             completed,
-            trial: later(self.trial, other.trial),
+            trial: later_trial(self.trial, other.trial),
         }
     }
 }
 
-/// The later of two trials. Of two with the same number, which began in one moment, one that is over, else that
-/// at the lower address, so that all gateways choose the same.
-fn later(a: Option<Trial>, b: Option<Trial>) -> Option<Trial> {
+/// Returns the later of two trials. Two trials with the same number began at the same time; one that
+/// is over wins, else the one at the lower address, so that all gateways choose the same.
+fn later_trial(a: Option<Trial>, b: Option<Trial>) -> Option<Trial> {
     let (Some(a), Some(b)) = (a, b) else {
         return a.or(b);
     };
--- a/crates/decide/src/queue.rs
+++ b/crates/decide/src/queue.rs
@@ -1,23 +1,24 @@
-//! Requests that wait for a slot.
+//! Queue of requests that wait for a slot.
 //!
-//! Those that can be served in time go before late ones, then the more urgent, then the earlier.
+//! Requests that can be served in time go before late ones, then more urgent ones, then earlier ones.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::DeadlineClass;
 
-/// Part of the objective that a request may wait before it is refused. A full engine's first event takes
-/// half of it or more, so what waits longer comes late; and in overload nothing is gained by waiting, since
-/// the next request is never far (12 engines, 190 requests a second: a fifth serves 0.02 less in time).
-const WAIT_PART: f64 = 0.1;
+/// Fraction of the objective that a request may wait before it is refused. The first event of a full
+/// engine takes half of the objective or more, so a longer wait makes it late. In overload waiting
+/// gains nothing, since the next request arrives soon (12 engines, 190 requests a second: 0.2 serves
+/// 0.02 less in time).
+const MAX_WAIT_FRACTION: f64 = 0.1;
 
-/// How long a request may wait for a slot.
+/// Returns the maximum time for which a request may wait for a slot.
 pub fn max_wait(objective: Duration) -> Duration {
-    objective.mul_f64(WAIT_PART)
+    objective.mul_f64(MAX_WAIT_FRACTION)
 }
 
-/// A place in the line.
+/// Position of a request in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     class: DeadlineClass,
@@ -25,7 +26,7 @@
     arrival: u64,
 }
 
-/// Requests that wait for upstreams of one service.
+/// Queue of requests for the upstreams of one service.
 #[derive(Debug, Default)]
 pub struct Queue {
     tickets: BTreeSet<Ticket>,
@@ -33,7 +34,7 @@
 }
 
 impl Queue {
-    /// Gives a request a ticket; 0 is the most urgent priority.
+    /// Adds a request and returns its ticket; 0 is the most urgent priority.
     pub fn enqueue(&mut self, class: DeadlineClass, priority: u8) -> Ticket {
         let ticket = Ticket {
             class,
@@ -45,12 +46,12 @@
         ticket
     }
 
-    /// Gives a place up.
+    /// Removes a request.
     pub fn remove(&mut self, ticket: &Ticket) {
         self.tickets.remove(ticket);
     }
 
-    /// Whether a place is the first.
+    /// Returns whether a request is at the front of the queue.
     pub fn is_first(&self, ticket: &Ticket) -> bool {
         self.tickets.first() == Some(ticket)
     }
--- a/crates/decide/src/rate_limit.rs
+++ b/crates/decide/src/rate_limit.rs
@@ -1,66 +1,71 @@
-//! Rate limits that upstreams advertise, over all gateways.
+//! Rate limits that upstreams advertise, enforced over all gateways.
 //!
-//! An overloaded upstream advertises in its answers how many requests a second it takes of all gateways together. The first gateways of its failure domain by rank ([`crate::senders`]) divide the rate, so
-//! that the limit holds without an exchange for each request. The others send nothing there, and learn from the
-//! senders' updates whether the limit still holds. A gateway without an update for long sends a request itself, the
-//! later the higher its rank: the senders may be gone, and nobody else would notice that the limit was lifted.
+//! An overloaded upstream advertises in its responses how many requests a second it accepts from all
+//! gateways together. The first gateways of its failure domain by rank ([`crate::senders`]) divide the
+//! rate, so that the limit holds without an exchange for each request. The others send nothing there,
+//! and learn from the senders' updates whether the limit still holds. A gateway that receives no
+//! update for long sends a request itself, the later the higher its rank: the senders may be down, and
+//! no other gateway would notice that the limit was lifted.
 //!
-//! Gateways may differ in which others they know of. The pace is such that the limit holds while two lists of
-//! gateways without a common one are in use.
+//! Gateways may differ in which others they know of. The pace is such that the limit holds while two
+//! disjoint lists of gateways are in use.
 //!
-//! The load it is for: an upstream that takes a fifth of what it got, or less, while each of hundreds of gateways
-//! has requests that it could run.
+//! Expected load: an upstream that accepts a fifth of its previous request rate, or less, while each
+//! of hundreds of gateways has requests for it.
 
 use std::time::{Duration, Instant};
 
-/// Time over which requests are counted: the users count over 4 s, and requests that are sent half a second apart
-/// may arrive together.
+/// Time over which requests are counted: the users count over 4 s, and requests that are sent half a
+/// second apart may arrive together.
 const WINDOW: Duration = Duration::from_millis(4500);
 
 /// Factor by which a window may exceed the limit.
 const OVERAGE: f64 = 1.5;
 
-/// Requests that a window may hold beside those.
+/// Requests that a window may hold in addition.
 const SLACK: f64 = 5.0;
 
-/// Lists of gateways that may be in use at once.
+/// Maximum number of different lists of gateways in use at once.
 const LISTS: f64 = 2.0;
 
-/// Fewest senders, so that the loss of one doesn't leave the upstream without requests.
+/// Minimum number of senders, so that the upstream still gets requests when one is lost.
 const MIN_SENDERS: usize = 2;
 
-/// Requests a second for which there is one more sender, since most requests arrive at gateways that aren't.
+/// Requests a second for which there is one more sender, since most requests arrive at gateways that
+/// aren't senders.
 const RATE_PER_SENDER: f64 = 4.0;
 
-/// Longest time between two requests of a sender: only an answer tells that a limit of 0 was lifted.
+/// Maximum interval between two requests of a sender: only a response shows that a limit of 0 was
+/// lifted.
 const MAX_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Shortest time without an update after which a gateway that isn't a sender sends a request.
+/// Minimum time without an update after which a gateway that isn't a sender sends a request.
 const MIN_SILENCE: Duration = Duration::from_secs(10);
 
-/// A rate limit, as far as is known.
+/// Last known rate limit of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second of all gateways together.
+    /// Requests a second from all gateways together.
     pub rate: f64,
-    /// When the upstream last advertised it to any gateway.
+    /// When the upstream last advertised the limit to any gateway.
     pub advertised: Instant,
 }
 
 impl RateLimit {
-    /// Number of gateways that divide the rate, of `gateways` in the upstream's failure domain.
+    /// Returns the number of gateways that divide the rate, of `gateways` in the upstream's failure
+    /// domain.
     pub fn senders(&self, gateways: usize) -> usize {
         // Casts of floats saturate.
         let wanted = MIN_SENDERS.saturating_add((self.rate / RATE_PER_SENDER) as usize);
         wanted.min(gateways.max(1))
     }
 
-    /// Time between two requests of one of `senders` gateways.
+    /// Returns the interval between two requests of one of `senders` gateways.
     pub fn interval(&self, senders: usize) -> Duration {
         let senders = senders as f64;
         let window = WINDOW.as_secs_f64();
         let allowed = (OVERAGE * self.rate * window + SLACK) / LISTS;
-        // A window may hold one request of a sender more than its pace says.
+        // A window may hold one request more of each sender than its pace implies.
         let of_window = (allowed - senders) / (senders * window);
         let pace = of_window.min(self.rate / senders);
         Duration::try_from_secs_f64(1.0 / pace)
@@ -68,7 +73,8 @@
             .min(MAX_INTERVAL)
     }
 
-    /// When the gateway of a rank among `gateways` may send next, by when it last did; `None` for at once.
+    /// Returns when the gateway of a rank among `gateways` may send next, given when it last did, or
+    /// `None` if it may send now.
     pub fn next(&self, rank: usize, gateways: usize, last: Option<Instant>) -> Option<Instant> {
         let senders = self.senders(gateways);
         let interval = self.interval(senders);
--- a/crates/decide/src/readers.rs
+++ b/crates/decide/src/readers.rs
@@ -1,47 +1,50 @@
-//! Which gateways of a failure domain read the store, and when they try again.
+//! Gateways of a failure domain that read the store, and their retries.
 //!
-//! Few gateways read; the others copy from them. Where no copy comes in time, the next in rank reads, and then the
-//! one after it. The pace at which further ones begin is fixed: if all of a large failure domain read whole tables
-//! at one moment, their answers would fill the link that they share, each read would fail for its time, and all
-//! would read again. The load it answers: a failure domain of any size whose first readers are gone, cut off, or
-//! behind a link that is full.
+//! Few gateways read the store; the others replicate from them. If no replica arrives in time, the
+//! next gateway by rank reads, and then the one after it. Further readers start at a fixed pace: if
+//! all gateways of a large failure domain read whole tables at the same time, the responses would
+//! fill their shared link, each read would time out, and all would read again.
+//!
+//! Expected load: a failure domain of any size whose first readers are down, cut off, or behind a
+//! full link.
 
 use std::time::Duration;
 
-/// Age of the list of upstreams at which the second gateway reads it, as a part of the interval: later than a copy
-/// from the first takes.
-const SECOND_PART: f64 = 1.3;
+/// Age of the list of upstreams at which the second gateway reads it, as a multiple of the interval:
+/// later than a replica from the first gateway arrives.
+const SECOND_AGE: f64 = 1.3;
 
-/// The same for the third.
-const THIRD_PART: f64 = 1.5;
+/// Age at which the third gateway reads the list, as a multiple of the interval.
+const THIRD_AGE: f64 = 1.5;
 
-/// The same for each one after it, more than the one before.
-const EACH_PART: f64 = 0.3;
+/// Increase of that multiple for each further gateway.
+const AGE_STEP: f64 = 0.3;
 
-/// Largest rank of a gateway whose last try to copy the list failed: it isn't served by those before it, and would
-/// go on by an old list.
+/// Maximum rank of a gateway that last failed to replicate the list. The gateways before it don't
+/// serve it, and it would keep using an outdated list.
 const FALLBACK_RANK: usize = 2;
 
-/// What a gateway that starts waits longer for a copy than the one before it, among the first [`PATIENT`]: a
+/// Additional wait for an initial replica for each of the first [`LONG_WAIT_STEPS`] ranks: a
 /// configuration of 0.7 MB takes 0.2 s on a link of 27 Mbit/s.
-const PATIENCE: Duration = Duration::from_millis(250);
+const LONG_WAIT_STEP: Duration = Duration::from_millis(250);
 
-/// Gateways that wait by [`PATIENCE`].
-const PATIENT: u32 = 4;
+/// Number of ranks that wait longer by [`LONG_WAIT_STEP`].
+const LONG_WAIT_STEPS: u32 = 4;
 
-/// What each one after those waits longer.
-const PATIENCE_LATER: Duration = Duration::from_millis(100);
+/// Additional wait for an initial replica for each later rank.
+const WAIT_STEP: Duration = Duration::from_millis(100);
 
-/// First pause after a failed read.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// Delay after the first failed read.
+const BASE_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest pause of the first two in rank, by whose reads the others learn of changes.
-const FIRST_LONGEST: Duration = Duration::from_secs(1);
+/// Maximum delay of the first two gateways by rank, whose reads inform the others of changes.
+const MAX_READER_DELAY: Duration = Duration::from_secs(1);
 
-/// Longest pause of the others.
-const LONGEST: Duration = Duration::from_secs(4);
+/// Maximum delay of the other gateways.
+const MAX_DELAY: Duration = Duration::from_secs(4);
 
-/// Rank by which a gateway reads, where it may not get the copies of those before it.
+/// Returns the rank by which a gateway reads, given whether it failed to replicate from the gateways
+/// before it.
 pub fn effective_rank(rank: usize, replication_failed: bool) -> usize {
     match replication_failed {
         true => rank.min(FALLBACK_RANK),
@@ -49,37 +52,38 @@
     }
 }
 
-/// Age of the list at which the gateway of a rank reads it, where the first reads it at the interval.
+/// Returns the age of the list at which the gateway of a rank reads it, where the first reads it at
+/// the interval.
 pub fn list_read_age(interval: Duration, rank: usize) -> Duration {
-    let part = match rank {
+    let multiple = match rank {
         0 => 1.0,
-        1 => SECOND_PART,
-        _ => THIRD_PART + EACH_PART * (rank - 2) as f64,
+        1 => SECOND_AGE,
+        _ => THIRD_AGE + AGE_STEP * (rank - 2) as f64,
     };
-    interval.mul_f64(part)
+    interval.mul_f64(multiple)
 }
 
-/// Wait of a gateway that starts for a copy from one before it in rank.
+/// Returns how long a starting gateway waits for a replica from a gateway before it in rank.
 pub fn initial_replica_wait(rank: usize) -> Duration {
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-    let later = PATIENCE_LATER.saturating_mul(rank.saturating_sub(PATIENT));
-    PATIENCE.saturating_mul(rank.min(PATIENT)) + later
+    let later = WAIT_STEP.saturating_mul(rank.saturating_sub(LONG_WAIT_STEPS));
+    LONG_WAIT_STEP.saturating_mul(rank.min(LONG_WAIT_STEPS)) + later
 }
 
-/// Pause after so many failed reads in a row, for a draw in 0..1.
+/// Returns the delay after this many failed reads in a row, for a random `draw` in 0..1.
 pub fn retry_delay(rank: usize, failures: u32, draw: f64) -> Duration {
     match rank {
-        0 | 1 => doubled(FIRST_LONGEST, failures, draw),
+        0 | 1 => exponential_delay(MAX_READER_DELAY, failures, draw),
         _ => background_retry_delay(failures, draw),
     }
 }
 
-/// The same for a call that is in no hurry.
+/// Returns the delay after failures of a call that isn't urgent.
 pub fn background_retry_delay(failures: u32, draw: f64) -> Duration {
-    doubled(LONGEST, failures, draw)
+    exponential_delay(MAX_DELAY, failures, draw)
 }
 
-fn doubled(longest: Duration, failures: u32, draw: f64) -> Duration {
-    let doubled = FIRST_PAUSE.saturating_mul(2_u32.saturating_pow(failures.saturating_sub(1)));
-    doubled.min(longest).mul_f64(1.0 + draw)
+fn exponential_delay(max: Duration, failures: u32, draw: f64) -> Duration {
+    let delay = BASE_DELAY.saturating_mul(2_u32.saturating_pow(failures.saturating_sub(1)));
+    delay.min(max).mul_f64(1.0 + draw)
 }
--- a/crates/decide/src/retry_after.rs
+++ b/crates/decide/src/retry_after.rs
@@ -1,46 +1,49 @@
-//! When a caller that is refused is told to come back.
+//! Delays after which refused callers should retry.
 
 use std::time::Duration;
 
-/// Mean time to come back where all upstreams are busy: the time in which an engine ends about a third of
-/// its batch. Twice as long serves no more (0.5 s and 1.5 s differ by less than two trials of the same).
-const BUSY: Duration = Duration::from_millis(1500);
+/// Mean delay while all upstreams are busy: the time in which an engine completes about a third of
+/// its batch. A delay twice as long serves no more requests: 0.5 s and 1.5 s differ by less than two
+/// runs with the same delay.
+const BUSY_DELAY: Duration = Duration::from_millis(1500);
 
-/// Mean time to come back where there is no upstream at all, which lasts until one has its weights.
-const NOBODY: Duration = Duration::from_millis(2500);
+/// Mean delay while there is no upstream at all, which lasts until one has its weights.
+const NO_UPSTREAM_DELAY: Duration = Duration::from_millis(2500);
 
-/// Longest time to come back where all upstreams are limited or in a back-off: others may have room sooner.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Maximum delay while all upstreams are rate-limited or in a back-off, since other upstreams may
+/// have free capacity sooner.
+const MAX_DELAY: Duration = Duration::from_secs(10);
 
-/// Part of the mean by which single times differ from it, so that those refused in one moment don't come
-/// back in one moment.
-const SPREAD: f64 = 0.3;
+/// Jitter as a fraction of the mean, so that callers refused at the same time don't retry at the same
+/// time.
+const JITTER: f64 = 0.3;
 
-/// Why a request is refused.
+/// Reason for a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// All upstreams are full.
     Busy,
-    /// No upstream may run it.
+    /// No upstream may run the request.
     NoUpstream,
 }
 
-/// Time to come back after, for a draw in 0..1.
+/// Returns the jittered delay for a refusal, for a random `draw` in 0..1.
 pub fn jittered_delay(reason: Reason, draw: f64) -> Duration {
     let mean = match reason {
-        Reason::Busy => BUSY,
-        Reason::NoUpstream => NOBODY,
+        Reason::Busy => BUSY_DELAY,
+        Reason::NoUpstream => NO_UPSTREAM_DELAY,
     };
-    mean.mul_f64(1.0 - SPREAD + 2.0 * SPREAD * draw)
+    mean.mul_f64(1.0 - JITTER + 2.0 * JITTER * draw)
 }
 
-/// Time to come back after where no upstream may be sent a request for `left`, for a draw in 0..1. It is spread, so
-/// that callers rejected at once don't come back at once.
-pub fn delay_until_available(left: Duration, draw: f64) -> Duration {
-    left.mul_f64(1.0 + 2.0 * SPREAD * draw).min(LONGEST)
+/// Returns the delay where no upstream may be sent a request for `remaining`, for a random `draw` in
+/// 0..1. It is never shorter than `remaining`, up to the maximum, and jittered so that callers
+/// refused at the same time don't retry at the same time.
+pub fn delay_until_available(remaining: Duration, draw: f64) -> Duration {
+    remaining.mul_f64(1.0 + 2.0 * JITTER * draw).min(MAX_DELAY)
 }
 
-/// Time for which a caller that found all upstreams busy stays away at least.
+/// Returns the minimum delay of a caller that was refused because all upstreams were busy.
 pub fn min_busy_delay() -> Duration {
     jittered_delay(Reason::Busy, 0.0)
 }
--- a/crates/decide/src/retry_budget.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -1,8 +1,8 @@
-//! Budget of requests sent again, over all gateways.
+//! Retry budget over all gateways.
 //!
-//! All gateways together may send `ratio` of the requests of a window again, and `slack` more. A
-//! gateway that keeps to `ratio` of its own requests and to its part of the slack holds the sum
-//! without asking anyone.
+//! All gateways together may retry `ratio` of the requests of a window, and `slack` more. A gateway
+//! that limits itself to `ratio` of its own requests and its share of the slack keeps the sum within
+//! the budget without coordination.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
@@ -11,17 +11,18 @@
 use base::Map;
 use catalog::ServiceName;
 
-/// Part of the budget that is used, for what the windows of others and of the bound differ by.
-const USED: f64 = 0.8;
+/// Fraction of the budget that is used. The rest allows for the windows of the other gateways and of
+/// the bound, which differ.
+const USED_FRACTION: f64 = 0.8;
 
-/// Times of requests and of those sent again.
+/// Times of requests and retries.
 #[derive(Debug, Default)]
 struct Window {
     requests: VecDeque<Instant>,
-    again: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
-/// The budget.
+/// Retry budget of each service.
 #[derive(Debug)]
 pub struct RetryBudget {
     window: Duration,
@@ -31,7 +32,8 @@
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` of the requests in a window, and `slack` for all gateways together.
+    /// Creates a budget of `ratio` of the requests in a window, plus `slack` for all gateways
+    /// together.
     pub fn new(window: Duration, ratio: f64, slack: f64) -> RetryBudget {
         RetryBudget {
             window,
@@ -41,31 +43,31 @@
         }
     }
 
-    /// Notes a request that came.
+    /// Records a request that arrived.
     pub fn deposit(&self, service: &ServiceName, now: Instant) {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         let window = services.entry(service.clone()).or_default();
-        window.forget(now, self.window);
+        window.expire(now, self.window);
         window.requests.push_back(now);
     }
 
-    /// Pays for sending a request again; `false` where the budget is used up.
+    /// Withdraws one retry; returns `false` if the budget is used up.
     pub fn withdraw(&self, service: &ServiceName, gateways: usize, now: Instant) -> bool {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         let window = services.entry(service.clone()).or_default();
-        window.forget(now, self.window);
-        let most = self.ratio * window.requests.len() as f64 + self.slack / gateways.max(1) as f64;
-        if window.again.len() as f64 + 1.0 > most * USED {
+        window.expire(now, self.window);
+        let max = self.ratio * window.requests.len() as f64 + self.slack / gateways.max(1) as f64;
+        if window.retries.len() as f64 + 1.0 > max * USED_FRACTION {
             return false;
         }
-        window.again.push_back(now);
+        window.retries.push_back(now);
         true
     }
 }
 
 impl Window {
-    fn forget(&mut self, now: Instant, window: Duration) {
-        for times in [&mut self.requests, &mut self.again] {
+    fn expire(&mut self, now: Instant, window: Duration) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| now - *at > window) {
                 times.pop_front();
             }
