--- a/crates/decide/tests/attempt_age.rs
+++ b/crates/decide/tests/attempt_age.rs
@@ -1,100 +1,100 @@
-//! Which requests count as tries again.
+//! Attempt ages that are inferred from callers' timeouts.
 
 use std::time::{Duration, Instant};
 
 use decide::attempt_age::AttemptAgeEstimator;
 
-const FIRST: Duration = Duration::from_millis(6000);
+const FIRST_TIMEOUT: Duration = Duration::from_millis(6000);
 
-/// Takes `n` requests whose callers wait for a time.
-fn take(stated: &mut AttemptAgeEstimator, n: usize, patience: Duration, now: Instant) {
+/// Observes `n` requests with a timeout.
+fn observe_many(estimator: &mut AttemptAgeEstimator, n: usize, timeout: Duration, now: Instant) {
     for _ in 0..n {
-        stated.observe(patience, now);
+        estimator.observe(timeout, now);
     }
 }
 
 #[test]
-fn a_caller_that_waits_for_less_than_the_others_asked_before() {
+fn shorter_timeout_counts_as_retry() {
     let now = Instant::now();
-    let mut stated = AttemptAgeEstimator::new(now);
-    take(&mut stated, 50, FIRST, now);
+    let mut estimator = AttemptAgeEstimator::new(now);
+    observe_many(&mut estimator, 50, FIRST_TIMEOUT, now);
 
-    let again = stated.observe(Duration::from_millis(4400), now);
-    let delayed = stated.observe(Duration::from_millis(5990), now);
+    let retry = estimator.observe(Duration::from_millis(4400), now);
+    let delayed = estimator.observe(Duration::from_millis(5990), now);
 
-    assert_eq!(again, Duration::from_millis(1600));
+    assert_eq!(retry, Duration::from_millis(1600));
     assert_eq!(delayed, Duration::ZERO);
 }
 
 #[test]
-fn it_does_so_also_when_every_caller_is_refused_once() {
+fn retries_are_detected_when_every_caller_is_refused_once() {
     let now = Instant::now();
-    let mut stated = AttemptAgeEstimator::new(now);
+    let mut estimator = AttemptAgeEstimator::new(now);
 
     for _ in 0..500 {
-        stated.observe(FIRST, now);
-        let again = stated.observe(Duration::from_millis(4300), now);
-        assert_eq!(again, Duration::from_millis(1700));
+        estimator.observe(FIRST_TIMEOUT, now);
+        let retry = estimator.observe(Duration::from_millis(4300), now);
+        assert_eq!(retry, Duration::from_millis(1700));
     }
 }
 
 #[test]
-fn nothing_follows_where_callers_state_all_kinds_of_times() {
+fn arbitrary_timeouts_count_as_first_attempts() {
     let now = Instant::now();
-    let mut stated = AttemptAgeEstimator::new(now);
+    let mut estimator = AttemptAgeEstimator::new(now);
     for i in 0..1000 {
         let ms = 1000 + i * 1237 % 5000;
-        stated.observe(Duration::from_millis(ms), now);
+        estimator.observe(Duration::from_millis(ms), now);
     }
 
-    let any = stated.observe(Duration::from_millis(2000), now);
+    let age = estimator.observe(Duration::from_millis(2000), now);
 
-    assert_eq!(any, Duration::ZERO);
+    assert_eq!(age, Duration::ZERO);
 }
 
-/// A time that a first try states where callers' times differ by up to 15 in 100.
-fn differing(i: u64) -> Duration {
+/// Timeout of a first attempt, where timeouts differ by up to 15 in 100.
+fn first_timeout(i: u64) -> Duration {
     Duration::from_millis(5100 + i * 317 % 900)
 }
 
 #[test]
-fn first_tries_count_as_such_where_their_callers_times_differ() {
+fn differing_first_timeouts_count_as_first_attempts() {
     let now = Instant::now();
-    let mut stated = AttemptAgeEstimator::new(now);
+    let mut estimator = AttemptAgeEstimator::new(now);
     for i in 0..50 {
-        stated.observe(differing(i), now);
+        estimator.observe(first_timeout(i), now);
     }
 
-    let waited = (0..500).map(|i| stated.observe(differing(i), now));
+    let ages = (0..500).map(|i| estimator.observe(first_timeout(i), now));
 
-    assert_eq!(waited.max(), Some(Duration::ZERO));
+    assert_eq!(ages.max(), Some(Duration::ZERO));
 }
 
 #[test]
-fn a_refused_caller_is_told_from_first_tries_whose_times_differ() {
+fn retries_are_detected_among_differing_first_timeouts() {
     let now = Instant::now();
-    let mut stated = AttemptAgeEstimator::new(now);
+    let mut estimator = AttemptAgeEstimator::new(now);
     for i in 0..50 {
-        stated.observe(differing(i), now);
+        estimator.observe(first_timeout(i), now);
     }
 
     for i in 0..500 {
-        stated.observe(differing(i), now);
-        let again = stated.observe(differing(i) - Duration::from_millis(2000), now);
-        assert!(again >= Duration::from_millis(1900), "{again:?}");
+        estimator.observe(first_timeout(i), now);
+        let retry = estimator.observe(first_timeout(i) - Duration::from_millis(2000), now);
+        assert!(retry >= Duration::from_millis(1900), "{retry:?}");
     }
 }
 
 #[test]
-fn a_time_that_no_caller_states_any_more_is_forgotten() {
+fn longest_timeout_expires_when_no_caller_states_it() {
     let now = Instant::now();
-    let mut stated = AttemptAgeEstimator::new(now);
-    take(&mut stated, 10, FIRST, now);
+    let mut estimator = AttemptAgeEstimator::new(now);
+    observe_many(&mut estimator, 10, FIRST_TIMEOUT, now);
     let later = now + Duration::from_secs(11);
-    take(&mut stated, 1, Duration::from_secs(3), later);
+    observe_many(&mut estimator, 1, Duration::from_secs(3), later);
 
-    let waited = stated.observe(Duration::from_millis(2950), later);
+    let age = estimator.observe(Duration::from_millis(2950), later);
 
-    assert_eq!(waited, Duration::ZERO, "3 s is the longest now");
-    assert!(stated.observe(Duration::from_millis(2000), later) > Duration::ZERO);
+    assert_eq!(age, Duration::ZERO, "the longest timeout is now 3 s");
+    assert!(estimator.observe(Duration::from_millis(2000), later) > Duration::ZERO);
 }
--- a/crates/decide/tests/back_off.rs
+++ b/crates/decide/tests/back_off.rs
@@ -1,4 +1,4 @@
-//! Upstreams that ask for a back-off.
+//! Back-offs that upstreams request.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn an_overlapping_back_off_extends_the_first_and_never_shortens_it() {
+fn overlapping_back_off_extends_and_never_shortens() {
     let now = Instant::now();
 
     let first = until(None, 5 * SECOND, now);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn both_the_back_off_and_the_rate_limit_hold() {
+fn next_send_respects_back_off_and_rate_limit() {
     let now = Instant::now();
     let (sooner, later) = (Some(now), Some(now + SECOND));
 
@@ -30,13 +30,14 @@
     assert_eq!(next_send(None, None), None);
 }
 
-/// Upstreams, of which the first few reject everything at once.
 const UPSTREAMS: usize = 12;
-const REFUSING: usize = 4;
 
-/// Callers whose request was rejected by two upstreams, of 1,700 that come over 10 s; each request that runs takes
-/// a second, and goes to the upstream with the least in flight.
-fn refused_callers(keeps_to_back_off: bool) -> usize {
+/// Number of upstreams, the first ones, that reject everything at once.
+const REJECTING: usize = 4;
+
+/// Returns the number of callers whose request was rejected by two upstreams, of 1,700 that arrive
+/// over 10 s. Each request takes a second and goes to the upstream with the least in flight.
+fn refused_callers(respects_back_off: bool) -> usize {
     let start = Instant::now();
     let mut running: Vec<Vec<Instant>> = vec![Vec::new(); UPSTREAMS];
     let mut back_offs: Vec<Option<Instant>> = vec![None; UPSTREAMS];
@@ -46,28 +47,30 @@
         running.iter_mut().for_each(|r| r.retain(|end| *end > now));
         let mut tried = Vec::new();
         while tried.len() < 2 {
-            let may = |i: &usize| {
+            let is_candidate = |i: &usize| {
                 let backs_off = back_offs[*i].is_some_and(|until| until > now);
-                !(tried.contains(i) || keeps_to_back_off && backs_off)
+                !(tried.contains(i) || respects_back_off && backs_off)
             };
-            let lightest = (0..UPSTREAMS).filter(may).min_by_key(|i| running[*i].len());
-            let Some(i) = lightest else {
+            let least_loaded = (0..UPSTREAMS)
+                .filter(is_candidate)
+                .min_by_key(|i| running[*i].len());
+            let Some(i) = least_loaded else {
                 break;
             };
             tried.push(i);
-            if i >= REFUSING {
+            if i >= REJECTING {
                 running[i].push(now + SECOND);
                 break;
             }
             back_offs[i] = Some(until(back_offs[i], 3 * SECOND, now));
         }
-        refused += usize::from(tried.iter().all(|i| *i < REFUSING));
+        refused += usize::from(tried.iter().all(|i| *i < REJECTING));
     }
     refused
 }
 
 #[test]
-fn callers_are_served_by_others_while_some_upstreams_reject_everything() {
+fn back_off_diverts_callers_from_rejecting_upstreams() {
     let (without, with) = (refused_callers(false), refused_callers(true));
 
     assert!(without > 1_600, "{without}");
--- a/crates/decide/tests/containment.rs
+++ b/crates/decide/tests/containment.rs
@@ -1,10 +1,11 @@
-//! A request under which engines end, in fleets of several sizes, with news between gateways that takes a while
-//! and gets lost.
+//! A request under which engines exit, in fleets of several sizes, with delayed and lost updates
+//! between gateways.
 //!
-//! The load: engines run eight harmless requests each, of 1.5 s. Two callers send the deadly request again and
-//! again, each at any gateway; an engine begins it after 0.3 s and ends 50 ms later, for 4 s, and all that it
-//! runs breaks off. Gateways keep the rules of [`decide::quarantine`] and tell each other as they do in a fleet:
-//! after 3 ms, four times within 1.3 s, to all of their failure domain and to two gateways of each other one.
+//! Load: engines run eight harmless requests each, of 1.5 s. Two callers repeat the deadly request, each
+//! at any gateway. An engine starts it after 0.3 s and exits 50 ms later, for 4 s, which interrupts all
+//! of its requests. Gateways follow the rules of [`decide::quarantine`] and send updates as in a fleet:
+//! after 3 ms, four times within 1.3 s, to all of their failure domain and to two gateways of each
+//! other one.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,27 +17,28 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Engines that may end under one request in the whole fleet, by the users' aim.
-const MOST_ENDED: usize = 4;
+/// Maximum number of engines in the whole fleet that may exit under one request, by the users'
+/// objective.
+const MAX_EXITED: usize = 4;
 
-/// Part of the news that gets lost.
-const LOST: f64 = 0.1;
+/// Fraction of updates that are lost.
+const LOSS: f64 = 0.1;
 
 const HOLD_TIME: Duration = Duration::from_secs(600);
 const GATHER_TIME: Duration = ms(3);
 const ANNOUNCE_TIME: Duration = ms(20);
-const TRIED_WAIT: Duration = ms(60);
+const IN_TRIAL_WAIT: Duration = ms(60);
 const RECHECK: Duration = ms(5);
-const SPREAD_MS: u64 = 40;
+const JITTER_MS: u64 = 40;
 const ROUNDS: [Duration; 4] = [ms(0), ms(60), ms(310), ms(1310)];
 
-const BEGINS_AFTER: Duration = ms(300);
-const ENDS_AFTER: Duration = ms(50);
-const AWAY: Duration = ms(4000);
+const START_AFTER: Duration = ms(300);
+const EXIT_AFTER: Duration = ms(50);
+const DOWNTIME: Duration = ms(4000);
 const HARMLESS_TIME: Duration = ms(1500);
-const RUN_AT_ONCE: usize = 8;
-const MOST_ATTEMPTS: u32 = 2;
-const PLAYED: Duration = ms(6000);
+const SLOTS: usize = 8;
+const MAX_ATTEMPTS: u32 = 2;
+const SPAN: Duration = ms(6000);
 const DEADLY: u64 = 0;
 
 const fn ms(n: u64) -> Duration {
@@ -54,34 +56,34 @@
     ([10, 0, a, b], 9000).into()
 }
 
-/// An attempt at a gateway.
+/// Attempt of a request at a gateway.
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     request: u64,
     gateway: usize,
     sent: u32,
     /// Until when it waits for a trial elsewhere.
-    patience: Instant,
+    wait_until: Instant,
 }
 
 #[derive(Debug, Clone)]
 enum Event {
-    /// An attempt looks whether it may be sent.
-    Look(Attempt),
-    /// A trial was announced a moment ago.
+    /// The gateway decides whether an attempt may be sent.
+    Decide(Attempt),
+    /// A trial was announced and may start.
     Announced(Attempt, usize, u32),
-    /// A run comes to its end, unless its engine has ended.
-    Ends(Attempt, usize, LifeId),
-    /// A part of all engines ends.
+    /// A request completes or makes its engine exit, unless the engine has exited before.
+    Completes(Attempt, usize, LifeId),
+    /// A fraction of all engines exits.
     Outage(f64),
-    /// News of a request leaves a gateway.
-    Tell(usize, u64, bool),
-    /// News arrives; to be passed on where it came from another failure domain.
-    Hear(usize, u64, SuspectState, bool),
+    /// A gateway sends its update on a request.
+    Send(usize, u64, bool),
+    /// An update arrives, to be relayed if it came from another failure domain.
+    Receive(usize, u64, SuspectState, bool),
 }
 
 struct Engine {
-    life: LifeId,
+    incarnation: LifeId,
     up_from: Instant,
     running: Vec<Attempt>,
 }
@@ -90,22 +92,22 @@
     now: Instant,
     rng: StdRng,
     events: BinaryHeap<Reverse<(Instant, u64)>>,
-    due: base::Map<u64, Event>,
-    numbers: u64,
+    scheduled: base::Map<u64, Event>,
+    last_number: u64,
     gateways: Vec<Quarantine>,
     domains: usize,
     engines: Vec<Engine>,
-    lives: LifeId,
-    ended: usize,
-    held: Vec<u64>,
-    refused_for_good: usize,
+    last_incarnation: LifeId,
+    exits: usize,
+    quarantined: Vec<u64>,
+    quarantine_refusals: usize,
 }
 
 impl Fleet {
     fn new(gateways: usize, engines: usize, domains: usize, seed: u64) -> Fleet {
         let now = Instant::now();
         let engine = |n: usize| Engine {
-            life: n as LifeId,
+            incarnation: n as LifeId,
             up_from: now,
             running: Vec::new(),
         };
@@ -113,22 +115,23 @@
             now,
             rng: StdRng::seed_from_u64(seed),
             events: BinaryHeap::new(),
-            due: base::Map::default(),
-            numbers: 1,
+            scheduled: base::Map::default(),
+            last_number: 1,
             gateways: (0..gateways).map(|_| Quarantine::new(HOLD_TIME)).collect(),
             domains,
             engines: (0..engines).map(engine).collect(),
-            lives: engines as LifeId,
-            ended: 0,
-            held: Vec::new(),
-            refused_for_good: 0,
+            last_incarnation: engines as LifeId,
+            exits: 0,
+            quarantined: Vec::new(),
+            quarantine_refusals: 0,
         }
     }
 
-    fn after(&mut self, time: Duration, event: Event) {
-        self.numbers += 1;
-        self.events.push(Reverse((self.now + time, self.numbers)));
-        self.due.insert(self.numbers, event);
+    fn schedule(&mut self, time: Duration, event: Event) {
+        self.last_number += 1;
+        self.events
+            .push(Reverse((self.now + time, self.last_number)));
+        self.scheduled.insert(self.last_number, event);
     }
 
     fn arrive(&mut self, request: u64, within: Duration) {
@@ -139,22 +142,22 @@
             request,
             gateway,
             sent: 0,
-            patience: at + TRIED_WAIT,
+            wait_until: at + IN_TRIAL_WAIT,
         };
-        self.after(at - self.now, Event::Look(attempt));
+        self.schedule(at - self.now, Event::Decide(attempt));
     }
 
-    /// The same, with the deadly request.
-    fn play_deadly(&mut self) {
+    /// Runs the simulation with the deadly request.
+    fn run_deadly(&mut self) {
         for caller in 0..2 {
             self.arrive(DEADLY, ms(200 * (caller + 1)));
         }
-        self.play();
+        self.run();
     }
 
-    fn play(&mut self) {
-        let end = self.now + PLAYED;
-        for request in 1..=(self.engines.len() * RUN_AT_ONCE) as u64 {
+    fn run(&mut self) {
+        let end = self.now + SPAN;
+        for request in 1..=(self.engines.len() * SLOTS) as u64 {
             self.arrive(request, HARMLESS_TIME);
         }
         while let Some(Reverse((at, number))) = self.events.pop() {
@@ -162,14 +165,17 @@
                 return;
             }
             self.now = at;
-            let event = self.due.remove(&number).expect("an event for each moment");
-            self.take(event);
+            let event = self
+                .scheduled
+                .remove(&number)
+                .expect("an event for each entry");
+            self.handle(event);
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Look(attempt) => self.look(attempt),
+            Event::Decide(attempt) => self.decide(attempt),
             Event::Announced(attempt, engine, number) => {
                 let quarantine = &self.gateways[attempt.gateway];
                 let request = fingerprint(attempt.request);
@@ -178,54 +184,56 @@
                     false => self.give_up(attempt),
                 }
             }
-            Event::Ends(attempt, engine, life) if self.engines[engine].life == life => {
-                self.end(attempt, engine);
+            Event::Completes(attempt, engine, incarnation)
+                if self.engines[engine].incarnation == incarnation =>
+            {
+                self.complete(attempt, engine);
             }
-            Event::Ends(..) => {}
-            Event::Outage(part) => self.outage(part),
-            Event::Tell(gateway, request, far) => self.tell(gateway, request, far),
-            Event::Hear(gateway, request, case, pass_on) => {
-                let is_news = self.gateways[gateway].merge(fingerprint(request), case);
-                if is_news && pass_on {
-                    self.news(gateway, request, false);
+            Event::Completes(..) => {}
+            Event::Outage(fraction) => self.outage(fraction),
+            Event::Send(gateway, request, far) => self.send_update(gateway, request, far),
+            Event::Receive(gateway, request, state, relay) => {
+                let is_new = self.gateways[gateway].merge(fingerprint(request), state);
+                if is_new && relay {
+                    self.announce_update(gateway, request, false);
                 }
             }
         }
     }
 
-    /// What a gateway does with an attempt that may be sent now or not.
-    fn look(&mut self, attempt: Attempt) {
+    /// Applies the decision of the attempt's gateway.
+    fn decide(&mut self, attempt: Attempt) {
         let request = fingerprint(attempt.request);
-        let verdict = self.gateways[attempt.gateway].decide(&request, self.now);
-        match verdict {
+        let decision = self.gateways[attempt.gateway].decide(&request, self.now);
+        match decision {
             Decision::Allow => match self.pick(&[]) {
                 Some(engine) => self.send(attempt, engine),
                 None => self.give_up(attempt),
             },
-            Decision::Trial(care) => self.announce(attempt, care),
+            Decision::Trial(isolation) => self.announce(attempt, isolation),
             Decision::WaitUntil(at) => {
-                let more = ms(self.rng.random_range(0..SPREAD_MS));
-                self.after(at - self.now + more, Event::Look(attempt));
+                let jitter = ms(self.rng.random_range(0..JITTER_MS));
+                self.schedule(at - self.now + jitter, Event::Decide(attempt));
             }
-            Decision::InTrial if self.now < attempt.patience => {
-                self.after(RECHECK, Event::Look(attempt));
+            Decision::InTrial if self.now < attempt.wait_until => {
+                self.schedule(RECHECK, Event::Decide(attempt));
             }
             Decision::InTrial => self.give_up(attempt),
             Decision::Quarantined(_) => {
                 if attempt.request != DEADLY {
-                    self.held.push(attempt.request);
+                    self.quarantined.push(attempt.request);
                 }
-                self.refused_for_good += 1;
+                self.quarantine_refusals += 1;
                 self.give_up(attempt);
             }
         }
     }
 
-    fn announce(&mut self, attempt: Attempt, care: Isolation) {
+    fn announce(&mut self, attempt: Attempt, isolation: Isolation) {
         let quarantine = &self.gateways[attempt.gateway];
         let trials = quarantine.trial_upstreams(self.now);
         let apart = self.pick(&trials);
-        let engine = match care {
+        let engine = match isolation {
             Isolation::Preferred => apart.or_else(|| self.pick(&[])),
             Isolation::Required => apart,
         };
@@ -237,14 +245,14 @@
         });
         match begun {
             Some((engine, number)) => {
-                self.news(attempt.gateway, attempt.request, true);
-                self.after(ANNOUNCE_TIME, Event::Announced(attempt, engine, number));
+                self.announce_update(attempt.gateway, attempt.request, true);
+                self.schedule(ANNOUNCE_TIME, Event::Announced(attempt, engine, number));
             }
             None => self.give_up(attempt),
         }
     }
 
-    /// An engine that is up, the one with the least in flight of two.
+    /// Picks an engine that is up, the less loaded of two.
     fn pick(&mut self, apart: &[SocketAddr]) -> Option<usize> {
         let up = |e: usize| self.engines[e].up_from <= self.now && !apart.contains(&addr(e));
         let draws: Vec<usize> = (0..20)
@@ -260,69 +268,69 @@
             ..attempt
         };
         let Engine {
-            life,
+            incarnation,
             up_from,
             running,
         } = &mut self.engines[engine];
         if *up_from > self.now {
-            // It ended while the trial was announced; nothing was sent.
+            // The engine exited while the trial was announced; nothing was sent.
             return self.give_up(attempt);
         }
         running.push(attempt);
-        let life = *life;
+        let incarnation = *incarnation;
         let time = match attempt.request {
-            DEADLY => BEGINS_AFTER + ENDS_AFTER,
+            DEADLY => START_AFTER + EXIT_AFTER,
             _ => HARMLESS_TIME,
         };
-        self.after(time, Event::Ends(attempt, engine, life));
+        self.schedule(time, Event::Completes(attempt, engine, incarnation));
     }
 
-    fn end(&mut self, attempt: Attempt, engine: usize) {
+    fn complete(&mut self, attempt: Attempt, engine: usize) {
         if attempt.request == DEADLY {
-            return self.engine_ends(engine);
+            return self.engine_exits(engine);
         }
         self.engines[engine]
             .running
             .retain(|a| a.request != attempt.request);
         let quarantine = &mut self.gateways[attempt.gateway];
         if quarantine.record_completion(&fingerprint(attempt.request), self.now) {
-            self.news(attempt.gateway, attempt.request, true);
+            self.announce_update(attempt.gateway, attempt.request, true);
         }
-        self.numbers += 1;
-        let next = self.numbers + 1_000_000;
+        self.last_number += 1;
+        let next = self.last_number + 1_000_000;
         self.arrive(next, ms(100));
     }
 
-    fn outage(&mut self, part: f64) {
+    fn outage(&mut self, fraction: f64) {
         for engine in 0..self.engines.len() {
-            if self.rng.random_bool(part) && self.engines[engine].up_from <= self.now {
-                self.engine_ends(engine);
+            if self.rng.random_bool(fraction) && self.engines[engine].up_from <= self.now {
+                self.engine_exits(engine);
             }
         }
     }
 
-    fn engine_ends(&mut self, engine: usize) {
-        self.ended += 1;
-        self.lives += 1;
-        let (now, lives) = (self.now, self.lives);
-        let ended = &mut self.engines[engine];
+    fn engine_exits(&mut self, engine: usize) {
+        self.exits += 1;
+        self.last_incarnation += 1;
+        let (now, last) = (self.now, self.last_incarnation);
+        let exited = &mut self.engines[engine];
         let exit = UpstreamExit {
-            incarnation: std::mem::replace(&mut ended.life, lives),
+            incarnation: std::mem::replace(&mut exited.incarnation, last),
             at: now,
         };
-        ended.up_from = now + AWAY;
-        for attempt in std::mem::take(&mut ended.running) {
+        exited.up_from = now + DOWNTIME;
+        for attempt in std::mem::take(&mut exited.running) {
             let quarantine = &mut self.gateways[attempt.gateway];
             quarantine.record_exit(fingerprint(attempt.request), addr(engine), exit);
-            self.news(attempt.gateway, attempt.request, true);
-            match attempt.sent < MOST_ATTEMPTS {
-                true => self.after(Duration::ZERO, Event::Look(attempt)),
+            self.announce_update(attempt.gateway, attempt.request, true);
+            match attempt.sent < MAX_ATTEMPTS {
+                true => self.schedule(Duration::ZERO, Event::Decide(attempt)),
                 false => self.give_up(attempt),
             }
         }
     }
 
-    /// The caller has its answer, and is back after a while.
+    /// Answers the caller, which retries after a while.
     fn give_up(&mut self, attempt: Attempt) {
         let within = match attempt.request {
             DEADLY => ms(300),
@@ -331,15 +339,15 @@
         self.arrive(attempt.request, within);
     }
 
-    fn news(&mut self, gateway: usize, request: u64, far: bool) {
+    fn announce_update(&mut self, gateway: usize, request: u64, far: bool) {
         for round in ROUNDS {
-            self.after(GATHER_TIME + round, Event::Tell(gateway, request, far));
+            self.schedule(GATHER_TIME + round, Event::Send(gateway, request, far));
         }
     }
 
-    /// Sends what a gateway knows of a request.
-    fn tell(&mut self, gateway: usize, request: u64, far: bool) {
-        let Some(case) = self.gateways[gateway]
+    /// Sends a gateway's state of a request.
+    fn send_update(&mut self, gateway: usize, request: u64, far: bool) {
+        let Some(state) = self.gateways[gateway]
             .suspect(&fingerprint(request))
             .cloned()
         else {
@@ -359,78 +367,78 @@
             }
         }
         for (to, is_far) in to {
-            if self.rng.random_bool(LOST) {
+            if self.rng.random_bool(LOSS) {
                 continue;
             }
-            let way = match is_far {
+            let latency = match is_far {
                 true => ms(self.rng.random_range(2..15)),
                 false => ms(1),
             };
-            self.after(way, Event::Hear(to, request, case.clone(), is_far));
+            self.schedule(latency, Event::Receive(to, request, state.clone(), is_far));
         }
     }
 }
 
-/// Gateways, engines and failure domains.
+/// Numbers of gateways, engines and failure domains.
 const SIZES: [(usize, usize, usize); 3] = [(7, 12, 3), (45, 120, 3), (330, 1200, 15)];
 
 #[test]
-fn few_engines_end_under_one_request_in_a_fleet_of_any_size() {
+fn few_engines_exit_under_one_request_in_a_fleet_of_any_size() {
     for (gateways, engines, domains) in SIZES {
         let seeds = 20;
-        let mut most = 0;
+        let mut max = 0;
         for seed in 0..seeds {
             let mut fleet = Fleet::new(gateways, engines, domains, seed);
 
-            fleet.play_deadly();
+            fleet.run_deadly();
 
-            most = fleet.ended.max(most);
+            max = fleet.exits.max(max);
             assert!(
-                fleet.refused_for_good > 0,
-                "seed {seed}: it comes again and again"
+                fleet.quarantine_refusals > 0,
+                "seed {seed}: the deadly request was never quarantined"
             );
             assert!(
-                (1..=MOST_ENDED).contains(&fleet.ended),
-                "seed {seed}, {gateways} gateways: {} engines ended",
-                fleet.ended
+                (1..=MAX_EXITED).contains(&fleet.exits),
+                "seed {seed}, {gateways} gateways: {} engines exited",
+                fleet.exits
             );
             assert!(
-                fleet.held.is_empty(),
-                "seed {seed}: held back: {:?}",
-                fleet.held
+                fleet.quarantined.is_empty(),
+                "seed {seed}: quarantined: {:?}",
+                fleet.quarantined
             );
         }
         println!(
-            "{gateways} gateways, {engines} engines: {most} ended at most, seeds 0 to {seeds}"
+            "{gateways} gateways, {engines} engines: {max} exited at most, seeds 0 to {seeds}"
         );
     }
 }
 
-/// Part of all engines that an outage ends.
+/// Fraction of all engines that an outage terminates.
 const OUTAGE: f64 = 0.15;
 
 #[test]
-fn no_harmless_request_is_held_back_for_outages_that_end_many_engines_twice() {
+fn two_outages_do_not_quarantine_harmless_requests() {
     let (gateways, engines, domains) = SIZES[1];
     let mut requests = 0;
-    for (seed, apart) in (0..1500).step_by(100).enumerate() {
+    for (seed, gap) in (0..1500).step_by(100).enumerate() {
         let mut fleet = Fleet::new(gateways, engines, domains, seed as u64);
-        fleet.after(ms(2000), Event::Outage(OUTAGE));
-        fleet.after(ms(2000 + apart), Event::Outage(OUTAGE));
+        fleet.schedule(ms(2000), Event::Outage(OUTAGE));
+        fleet.schedule(ms(2000 + gap), Event::Outage(OUTAGE));
 
-        fleet.play();
+        fleet.run();
 
-        requests += engines * RUN_AT_ONCE;
+        requests += engines * SLOTS;
         assert!(
-            fleet.ended > engines / 10,
-            "seed {seed}: {} ended",
-            fleet.ended
+            fleet.exits > engines / 10,
+            "seed {seed}: {} exited",
+            fleet.exits
         );
         assert!(
-            fleet.held.is_empty(),
-            "seed {seed}: held back: {:?}",
-            fleet.held
+            fleet.quarantined.is_empty(),
+            "seed {seed}: quarantined: {:?}",
+            fleet.quarantined
         );
     }
-    println!("{requests} requests and those that followed them, none held back");
+    println!("{requests} requests and their successors, none quarantined");
 }
--- a/crates/decide/tests/contention.rs
+++ b/crates/decide/tests/contention.rs
@@ -1,42 +1,43 @@
-//! Many gateways that know the same of few engines.
+//! Many gateways with the same view of few engines.
 
 use decide::contention::should_try;
 
-/// Room of an engine that has just come into service: three prompts read in time.
-const ROOM: f64 = 3.0;
+/// Free capacity of an engine that has just entered service: three prompts can be read in time.
+const FREE_CAPACITY: f64 = 3.0;
 
-/// Draws that are spread evenly.
+/// Returns evenly spaced draws.
 fn draws(n: usize) -> impl Iterator<Item = f64> {
     (0..n).map(move |i| (i as f64 + 0.5) / n as f64)
 }
 
-fn tries(room: f64, gateways: usize) -> usize {
+fn attempts(free_capacity: f64, gateways: usize) -> usize {
     draws(gateways)
-        .filter(|draw| should_try(room, gateways, false, true, *draw))
+        .filter(|draw| should_try(free_capacity, gateways, false, true, *draw))
         .count()
 }
 
-/// Each of 149 gateways sent a prompt to the first engine in service, where three could be read in time.
+/// Without a limit, each of 149 gateways sends a prompt to the first engine in service, which can read
+/// three in time.
 #[test]
-fn an_engine_that_all_gateways_find_empty_is_tried_by_some() {
-    assert_eq!(tries(ROOM, 149), 6);
-    assert_eq!(tries(ROOM, 30), 6);
+fn some_gateways_try_an_engine_that_all_see_empty() {
+    assert_eq!(attempts(FREE_CAPACITY, 149), 6);
+    assert_eq!(attempts(FREE_CAPACITY, 30), 6);
 }
 
 #[test]
-fn few_gateways_try_every_engine_with_room() {
-    assert_eq!(tries(ROOM, 6), 6);
-    assert_eq!(tries(1.0, 2), 2);
+fn few_gateways_try_every_engine_with_free_capacity() {
+    assert_eq!(attempts(FREE_CAPACITY, 6), 6);
+    assert_eq!(attempts(1.0, 2), 2);
 }
 
 #[test]
-fn a_full_engine_is_tried_by_none() {
-    assert_eq!(tries(0.0, 30), 0);
+fn no_gateway_tries_a_full_engine() {
+    assert_eq!(attempts(0.0, 30), 0);
 }
 
-/// 30 gateways and 41 engines with one slot free each: who looks finds some to try.
+/// With 30 gateways and 41 engines with one free slot each, a gateway finds some to try.
 #[test]
-fn near_full_load_a_gateway_still_finds_engines() {
+fn gateway_finds_engines_near_full_load() {
     let found = (0..41).filter(|engine| {
         let draw = f64::from((engine * 37) % 41) / 41.0;
         should_try(1.0, 30, false, true, draw)
@@ -46,13 +47,13 @@
 }
 
 #[test]
-fn a_request_that_has_just_arrived_tries_more_engines_of_its_failure_domain_and_no_more_others() {
-    let of = |is_far, waits| {
+fn new_request_tries_more_engines_of_its_own_failure_domain_only() {
+    let attempts = |is_far, has_waited| {
         draws(30)
-            .filter(|draw| should_try(1.0, 30, is_far, waits, *draw))
+            .filter(|draw| should_try(1.0, 30, is_far, has_waited, *draw))
             .count()
     };
 
-    assert!(of(false, false) > of(false, true));
-    assert_eq!(of(true, false), of(true, true));
+    assert!(attempts(false, false) > attempts(false, true));
+    assert_eq!(attempts(true, false), attempts(true, true));
 }
--- a/crates/decide/tests/draining.rs
+++ b/crates/decide/tests/draining.rs
@@ -1,9 +1,9 @@
-//! Upstreams that are draining.
+//! Draining upstreams.
 
 use decide::draining::{DrainState, accepts_requests};
 
 #[test]
-fn the_first_announcement_of_a_drain_ends_new_requests() {
+fn first_drain_announcement_stops_new_requests() {
     let accepts = |listed, advertised| accepts_requests(DrainState { listed, advertised });
 
     assert!(accepts(false, false));
--- a/crates/decide/tests/fanout.rs
+++ b/crates/decide/tests/fanout.rs
@@ -1,75 +1,73 @@
-//! Who in a failure domain is told of a change of load, and how many datagrams that makes.
+//! Receivers of load changes in a failure domain, and the resulting number of datagrams.
 
 use decide::fanout::{
     FanOut, LEADERS, RELAY_INTERVAL, change_fan_out, full_update_interval, should_relay,
 };
 
-/// Changes of a busy gateway in a second: 7 requests, each of which begins, is read and ends.
+/// Changes a second of a busy gateway: 7 requests, each of which starts, is read and completes.
 const CHANGES: f64 = 20.0;
 
-/// Datagrams a second of all gateways of a failure domain.
+/// Returns the datagrams a second of all gateways of a failure domain.
 fn datagrams(gateways: usize, is_relayed: bool) -> f64 {
     let others = gateways - 1;
-    let told = match change_fan_out(others, is_relayed) {
+    let receivers = match change_fan_out(others, is_relayed) {
         FanOut::All => others,
         FanOut::Leaders => LEADERS,
     };
-    let changes = gateways as f64 * CHANGES * told as f64;
-    let notes = (gateways * others) as f64 / full_update_interval(others).as_secs_f64();
+    let changes = gateways as f64 * CHANGES * receivers as f64;
+    let full_updates = (gateways * others) as f64 / full_update_interval(others).as_secs_f64();
     let relays = (0..gateways).filter(|rank| should_relay(others, *rank, is_relayed));
-    let passed_on = (relays.count() * others) as f64 / RELAY_INTERVAL.as_secs_f64();
-    changes + notes + passed_on
+    let relayed = (relays.count() * others) as f64 / RELAY_INTERVAL.as_secs_f64();
+    changes + full_updates + relayed
 }
 
 #[test]
-fn few_gateways_tell_each_other_at_once() {
+fn small_failure_domain_sends_changes_directly() {
     assert_eq!(change_fan_out(12, true), FanOut::All);
     assert!((0..13).all(|rank| !should_relay(12, rank, false)));
 }
 
 #[test]
-fn of_many_gateways_the_first_passes_changes_on_and_the_second_where_it_is_lost() {
+fn first_leader_relays_and_second_takes_over() {
     let others = 29;
 
     assert_eq!(change_fan_out(others, true), FanOut::Leaders);
     assert!(should_relay(others, 0, true) && !should_relay(others, 1, true));
     assert!(should_relay(others, 1, false));
-    assert!(
-        !should_relay(others, LEADERS, false),
-        "only those that are told can"
-    );
+    assert!(!should_relay(others, LEADERS, false), "only leaders relay");
 }
 
 #[test]
-fn while_nobody_passes_changes_on_all_are_told() {
+fn changes_go_to_all_gateways_while_no_leader_relays() {
     assert_eq!(change_fan_out(29, false), FanOut::All);
 }
 
-/// All telling all was 17,400 changes and 2,175 whole notes a second at 30 gateways.
+/// When each of 30 gateways sends to all others, they send 17,400 changes and 2,175 full updates a
+/// second.
 #[test]
-fn thirty_gateways_send_a_fifth_of_what_all_telling_all_would() {
-    let all_told = datagrams(30, false);
-    let passed_on = datagrams(30, true);
+fn relaying_cuts_datagrams_of_thirty_gateways_to_a_fifth() {
+    let direct = datagrams(30, false);
+    let relayed = datagrams(30, true);
 
-    assert!(passed_on < all_told / 5.0, "{passed_on} of {all_told}");
+    assert!(relayed < direct / 5.0, "{relayed} of {direct}");
 }
 
-/// With a fixed interval each gateway sent 92 whole notes a second at 121 gateways, and 38 at 50.
+/// With a fixed interval each gateway sends 92 full updates a second at 121 gateways, and 38 at 50.
 #[test]
-fn a_gateway_sends_no_more_whole_notes_in_a_larger_failure_domain() {
-    let notes =
+fn full_updates_per_gateway_do_not_grow_with_failure_domain() {
+    let updates =
         |gateways: usize| (gateways - 1) as f64 / full_update_interval(gateways - 1).as_secs_f64();
 
     assert!(
-        notes(121) <= notes(51) * 1.01,
+        updates(121) <= updates(51) * 1.01,
         "{} and {}",
-        notes(121),
-        notes(51)
+        updates(121),
+        updates(51)
     );
     assert!(
-        notes(484) <= notes(121) * 1.01,
+        updates(484) <= updates(121) * 1.01,
         "{} and {}",
-        notes(484),
-        notes(121)
+        updates(484),
+        updates(121)
     );
 }
--- a/crates/decide/tests/load_balancing.rs
+++ b/crates/decide/tests/load_balancing.rs
@@ -1,11 +1,11 @@
-//! Which upstream a request goes to, and which is full.
+//! Choice of upstreams by cost, and full upstreams.
 
 use std::time::Duration;
 
 use decide::DeadlineClass;
 use decide::load_balancing::{Candidate, Requirements};
 
-fn ask(deadline_class: DeadlineClass) -> Requirements {
+fn requirements(deadline_class: DeadlineClass) -> Requirements {
     Requirements {
         deadline_class,
         objective: Duration::from_millis(400),
@@ -31,23 +31,23 @@
 }
 
 #[test]
-fn the_least_loaded_goes_first_then_the_own_failure_domain() {
-    let ask = ask(DeadlineClass::OnTime);
+fn least_loaded_wins_then_own_failure_domain() {
+    let requirements = requirements(DeadlineClass::OnTime);
     let far = Candidate {
         is_far: true,
         ..running(3)
     };
 
-    let weight = |candidate| ask.cost(&candidate).expect("room");
+    let cost = |candidate| requirements.cost(&candidate).expect("free capacity");
 
-    assert!(weight(running(3)) < weight(running(4)));
-    assert!(weight(running(4)) < weight(far));
-    assert!(weight(far) < weight(running(8)));
+    assert!(cost(running(3)) < cost(running(4)));
+    assert!(cost(running(4)) < cost(far));
+    assert!(cost(far) < cost(running(8)));
 }
 
 #[test]
-fn an_engine_is_full_by_its_slots_or_by_prompts_that_wait_to_be_read() {
-    let ask = ask(DeadlineClass::OnTime);
+fn engine_is_full_by_slots_or_unread_prompts() {
+    let requirements = requirements(DeadlineClass::OnTime);
     let unread = |unread| Candidate { unread, ..idle() };
     let own = Candidate {
         own_unread: 1,
@@ -55,15 +55,15 @@
         ..idle()
     };
 
-    assert!(ask.cost(&running(15)).is_some());
-    assert!(ask.cost(&running(16)).is_none());
-    assert!(ask.cost(&unread(2_900)).is_some());
-    assert!(ask.cost(&unread(3_100)).is_none());
-    assert!(ask.cost(&own).is_none());
+    assert!(requirements.cost(&running(15)).is_some());
+    assert!(requirements.cost(&running(16)).is_none());
+    assert!(requirements.cost(&unread(2_900)).is_some());
+    assert!(requirements.cost(&unread(3_100)).is_none());
+    assert!(requirements.cost(&own).is_none());
     assert!(
         Requirements {
             is_only_gateway: true,
-            ..ask
+            ..requirements
         }
         .cost(&own)
         .is_some()
@@ -71,19 +71,22 @@
 }
 
 #[test]
-fn late_requests_leave_slots_for_those_that_can_be_in_time() {
-    let (timely, late) = (ask(DeadlineClass::OnTime), ask(DeadlineClass::Late));
+fn late_requests_leave_slots_for_on_time_requests() {
+    let (on_time, late) = (
+        requirements(DeadlineClass::OnTime),
+        requirements(DeadlineClass::Late),
+    );
 
     assert!(late.cost(&running(13)).is_some());
     assert!(late.cost(&running(14)).is_none());
-    assert!(timely.cost(&running(14)).is_some());
+    assert!(on_time.cost(&running(14)).is_some());
 }
 
 #[test]
-fn a_plain_service_takes_twice_its_slots_from_late_requests_too() {
+fn plain_service_accepts_twice_its_slots_from_late_requests_too() {
     let plain = Requirements {
         prompt_rate: None,
-        ..ask(DeadlineClass::Late)
+        ..requirements(DeadlineClass::Late)
     };
     let with = |requests| Candidate {
         slots: 6,
@@ -95,8 +98,8 @@
 }
 
 #[test]
-fn an_engine_that_leaves_before_the_request_would_end_comes_last() {
-    let ask = ask(DeadlineClass::OnTime);
+fn engine_that_leaves_before_completion_comes_last() {
+    let requirements = requirements(DeadlineClass::OnTime);
     let leaving = Candidate {
         leaves_in: Some(Duration::from_millis(500)),
         ..running(2)
@@ -106,6 +109,6 @@
         ..running(2)
     };
 
-    assert!(ask.cost(&leaving) > ask.cost(&running(5)));
-    assert_eq!(ask.cost(&later), ask.cost(&running(2)));
+    assert!(requirements.cost(&leaving) > requirements.cost(&running(5)));
+    assert_eq!(requirements.cost(&later), requirements.cost(&running(2)));
 }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -1,7 +1,8 @@
-//! What callers get from a pool of engines that more requests come to than it can serve.
+//! Results of callers at a pool of engines that gets more requests than it can serve.
 //!
-//! The engines are played as they work: passes over all that runs, in which each request gets some tokens,
-//! and in which prompts that came meanwhile are read. Callers come at random, and come back once when told.
+//! The simulated engines work in passes over all running requests. In each pass, each request gets some
+//! tokens, and prompts that arrived in between are read. Callers arrive at random and retry once after
+//! the delay in the refusal.
 
 use std::time::{Duration, Instant};
 
@@ -15,26 +16,27 @@
 
 const ENGINES: usize = 12;
 const SLOTS: u32 = 16;
-/// Tokens that a request gets in a pass, and the time of a pass that reads nothing.
+/// Tokens that a request gets in a pass.
 const PASS_TOKENS: u64 = 6;
-const PASS: f64 = 0.043;
+/// Seconds of a pass that reads no prompt.
+const PASS_SECONDS: f64 = 0.043;
 const PROMPT_RATE: f64 = 30_600.0;
-const PROMPT: u64 = 960;
-const ANSWER: u64 = 120;
+const PROMPT_TOKENS: u64 = 960;
+const ANSWER_TOKENS: u64 = 120;
 const OBJECTIVE: Duration = Duration::from_millis(400);
-const PATIENCE: Duration = Duration::from_secs(6);
+const TIMEOUT: Duration = Duration::from_secs(6);
 const TICK: Duration = Duration::from_millis(1);
 
-/// A request of a caller that first asked at `first`, and then stated `patience`.
+/// Request of a caller whose first attempt was at `first`, with `timeout`.
 #[derive(Debug, Clone, Copy)]
 struct Request {
     first: Duration,
-    patience: Duration,
+    timeout: Duration,
     arrived: Duration,
-    again: bool,
+    is_retry: bool,
 }
 
-/// A request at an engine.
+/// Request at an engine.
 #[derive(Debug)]
 struct Running {
     request: Request,
@@ -48,22 +50,22 @@
     pass_ends: Duration,
 }
 
-/// How callers fared.
+/// Counts of callers by result.
 #[derive(Debug, Default, Clone, Copy)]
-struct Fared {
-    asked: u32,
+struct Results {
+    callers: u32,
     in_time: u32,
     late: u32,
     refused: u32,
 }
 
-impl Fared {
+impl Results {
     fn in_time(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked)
+        f64::from(self.in_time) / f64::from(self.callers)
     }
 
     fn served(&self) -> f64 {
-        f64::from(self.in_time + self.late) / f64::from(self.asked)
+        f64::from(self.in_time + self.late) / f64::from(self.callers)
     }
 }
 
@@ -73,94 +75,94 @@
         Candidate {
             slots: SLOTS,
             requests: self.running.len() as u32,
-            unread: unread * PROMPT,
+            unread: unread * PROMPT_TOKENS,
             own_unread: 0,
             is_far: false,
             leaves_in: None,
         }
     }
 
-    /// Ends a pass: what was read gets its first tokens, what has all of its tokens ends.
-    fn step(&mut self, now: Duration, fared: &mut Fared) {
+    /// Completes a pass: requests that were read get tokens, and those with all of their tokens complete.
+    fn step(&mut self, now: Duration, results: &mut Results) {
         if now < self.pass_ends {
             return;
         }
         for running in self.running.iter_mut().filter(|r| r.read) {
             if running.tokens == 0 {
                 match now - running.request.first <= OBJECTIVE {
-                    true => fared.in_time += 1,
-                    false => fared.late += 1,
+                    true => results.in_time += 1,
+                    false => results.late += 1,
                 }
             }
             running.tokens += PASS_TOKENS;
         }
-        self.running.retain(|r| r.tokens < ANSWER);
+        self.running.retain(|r| r.tokens < ANSWER_TOKENS);
         let unread = self.running.iter_mut().filter(|r| !r.read);
         let reads = unread.map(|r| r.read = true).count();
-        let reading = reads as f64 * PROMPT as f64 / PROMPT_RATE;
-        self.pass_ends = now + Duration::from_secs_f64(PASS + reading);
+        let reading = reads as f64 * PROMPT_TOKENS as f64 / PROMPT_RATE;
+        self.pass_ends = now + Duration::from_secs_f64(PASS_SECONDS + reading);
     }
 }
 
-/// Plays so many requests a second for a time, by ranking requests with `standing`; the times that callers
-/// state differ by up to a part `differ` of the longest.
-fn play(
+/// Simulates `rate` requests a second over `span`, with requests ranked by `classify`. The callers'
+/// timeouts differ by up to a fraction `spread` of the longest.
+fn simulate(
     rate: impl Fn(Duration) -> f64,
     span: Duration,
     seed: u64,
-    differ: f64,
-    standing: impl Fn(Duration) -> DeadlineClass,
-) -> Fared {
+    spread: f64,
+    classify: impl Fn(Duration) -> DeadlineClass,
+) -> Results {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut times = StdRng::seed_from_u64(seed);
+    let mut timeout_rng = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
-    let (mut waiting, mut returning): (Vec<Request>, Vec<Request>) = (Vec::new(), Vec::new());
-    let (mut stated, mut fared) = (AttemptAgeEstimator::new(start), Fared::default());
+    let (mut queued, mut retrying): (Vec<Request>, Vec<Request>) = (Vec::new(), Vec::new());
+    let (mut estimator, mut results) = (AttemptAgeEstimator::new(start), Results::default());
     let mut now = Duration::ZERO;
-    while now < span + PATIENCE {
+    while now < span + TIMEOUT {
         if now < span && rng.random_range(0.0..1.0) < rate(now) * TICK.as_secs_f64() {
-            fared.asked += 1;
-            waiting.push(Request {
+            results.callers += 1;
+            queued.push(Request {
                 first: now,
-                patience: PATIENCE.mul_f64(1.0 - times.random_range(0.0..=differ)),
+                timeout: TIMEOUT.mul_f64(1.0 - timeout_rng.random_range(0.0..=spread)),
                 arrived: now,
-                again: false,
+                is_retry: false,
             });
         }
-        let due = returning.extract_if(.., |r| r.arrived <= now);
-        waiting.extend(due);
-        // As gateways do: the standing comes from the time that the caller still waits.
-        let mut ranked: Vec<(DeadlineClass, Request)> = waiting
+        let due = retrying.extract_if(.., |r| r.arrived <= now);
+        queued.extend(due);
+        // As in a gateway, the class depends on the time that the caller still waits.
+        let mut ranked: Vec<(DeadlineClass, Request)> = queued
             .drain(..)
             .map(|r| {
-                let patience = r.patience.saturating_sub(r.arrived - r.first);
-                (standing(stated.observe(patience, start + now)), r)
+                let timeout = r.timeout.saturating_sub(r.arrived - r.first);
+                (classify(estimator.observe(timeout, start + now)), r)
             })
             .collect();
-        ranked.sort_by_key(|(standing, r)| (*standing, r.arrived));
-        for (standing, request) in ranked {
-            match place(&mut engines, standing, &mut rng) {
+        ranked.sort_by_key(|(class, r)| (*class, r.arrived));
+        for (class, request) in ranked {
+            match place(&mut engines, class, &mut rng) {
                 Some(engine) => engine.running.push(Running {
                     request,
                     read: false,
                     tokens: 0,
                 }),
-                None if now < request.arrived + max_wait(OBJECTIVE) => waiting.push(request),
-                None if request.again => fared.refused += 1,
-                None => returning.push(Request {
+                None if now < request.arrived + max_wait(OBJECTIVE) => queued.push(request),
+                None if request.is_retry => results.refused += 1,
+                None => retrying.push(Request {
                     arrived: now + jittered_delay(Reason::Busy, rng.random_range(0.0..1.0)),
-                    again: true,
+                    is_retry: true,
                     ..request
                 }),
             }
         }
         for engine in &mut engines {
-            engine.step(now, &mut fared);
+            engine.step(now, &mut results);
         }
         now += TICK;
     }
-    fared
+    results
 }
 
 fn place<'a>(
@@ -168,89 +170,93 @@
     deadline_class: DeadlineClass,
     rng: &mut StdRng,
 ) -> Option<&'a mut Engine> {
-    let ask = Requirements {
+    let requirements = Requirements {
         deadline_class,
         objective: OBJECTIVE,
         prompt_rate: Some(PROMPT_RATE),
-        expected_tokens: ANSWER,
+        expected_tokens: ANSWER_TOKENS,
         is_only_gateway: true,
     };
-    let weighed = engines.iter_mut().filter_map(|e| {
-        let weight = ask.cost(&e.candidate())?;
-        Some((weight + rng.random_range(0.0..JITTER), e))
+    let candidates = engines.iter_mut().filter_map(|e| {
+        let cost = requirements.cost(&e.candidate())?;
+        Some((cost + rng.random_range(0.0..JITTER), e))
     });
-    weighed
+    candidates
         .min_by(|(a, _), (b, _)| a.total_cmp(b))
         .map(|(_, e)| e)
 }
 
-/// Whether a request whose caller first asked so long ago can be in time.
-fn by_age(waited: Duration) -> DeadlineClass {
-    match waited < OBJECTIVE {
+/// Returns whether a request can be in time, given the age of its caller's first attempt.
+fn by_age(age: Duration) -> DeadlineClass {
+    match age < OBJECTIVE {
         true => DeadlineClass::OnTime,
         false => DeadlineClass::Late,
     }
 }
 
-fn alike(_: Duration) -> DeadlineClass {
+fn equal(_: Duration) -> DeadlineClass {
     DeadlineClass::OnTime
 }
 
-/// Plays both rankings over some seeds and prints what callers got.
-fn compare(name: &str, differ: f64, rate: impl Fn(Duration) -> f64 + Copy) -> Vec<(Fared, Fared)> {
+/// Simulates both rankings over some seeds and prints the results.
+fn compare(
+    name: &str,
+    spread: f64,
+    rate: impl Fn(Duration) -> f64 + Copy,
+) -> Vec<(Results, Results)> {
     let span = Duration::from_secs(20);
     let both = |seed| {
-        let (alike, by_age) = (
-            play(rate, span, seed, differ, alike),
-            play(rate, span, seed, differ, by_age),
+        let (equal, by_age) = (
+            simulate(rate, span, seed, spread, equal),
+            simulate(rate, span, seed, spread, by_age),
         );
-        println!("{name} seed {seed}: alike {alike:?}, by age {by_age:?}");
-        (alike, by_age)
+        println!("{name} seed {seed}: equal {equal:?}, by age {by_age:?}");
+        (equal, by_age)
     };
     (1..=4).map(both).collect()
 }
 
 #[test]
-fn in_lasting_overload_more_callers_are_served_in_time_and_as_many_are_served() {
+fn lasting_overload_serves_as_many_callers_and_more_in_time() {
     // 12 engines serve some 140 a second.
-    let fared = compare("190 a second", 0.0, |_| 190.0);
+    let results = compare("190 a second", 0.0, |_| 190.0);
 
-    for (alike, by_age) in fared {
-        assert!(by_age.in_time() > alike.in_time() + 0.1, "{by_age:?}");
-        assert!(by_age.served() > alike.served() - 0.05, "{by_age:?}");
+    for (equal, by_age) in results {
+        assert!(by_age.in_time() > equal.in_time() + 0.1, "{by_age:?}");
+        assert!(by_age.served() > equal.served() - 0.05, "{by_age:?}");
     }
 }
 
 #[test]
-fn as_many_more_are_in_time_where_the_times_that_callers_state_differ() {
-    // Of two callers the one that states less has not asked before, unless it states much less.
-    let fared = compare("190 a second, times differ", 0.15, |_| 190.0);
+fn lasting_overload_serves_more_in_time_with_differing_timeouts() {
+    // A shorter timeout indicates a retry only if it is much shorter.
+    let results = compare("190 a second, timeouts differ", 0.15, |_| 190.0);
 
-    for (alike, by_age) in fared {
-        assert!(by_age.in_time() > alike.in_time() + 0.1, "{by_age:?}");
-        assert!(by_age.served() > alike.served() - 0.05, "{by_age:?}");
+    for (equal, by_age) in results {
+        assert!(by_age.in_time() > equal.in_time() + 0.1, "{by_age:?}");
+        assert!(by_age.served() > equal.served() - 0.05, "{by_age:?}");
     }
 }
 
 #[test]
-fn of_a_burst_about_as_many_are_served_and_more_in_time() {
+fn burst_serves_about_as_many_callers_and_more_in_time() {
     let rate = |now: Duration| match (5..7).contains(&now.as_secs()) {
         true => 260.0,
         false => 90.0,
     };
-    let fared = compare("a burst of 2 s", 0.0, rate);
+    let results = compare("a burst of 2 s", 0.0, rate);
 
-    for (alike, by_age) in fared {
-        assert!(by_age.in_time() >= alike.in_time() - 0.01, "{by_age:?}");
-        assert!(by_age.served() >= alike.served() - 0.02, "{by_age:?}");
+    for (equal, by_age) in results {
+        assert!(by_age.in_time() >= equal.in_time() - 0.01, "{by_age:?}");
+        assert!(by_age.served() >= equal.served() - 0.02, "{by_age:?}");
     }
 }
 
 #[test]
-fn below_what_the_engines_serve_nobody_is_refused() {
-    let fared = compare("100 a second", 0.0, |_| 100.0);
+fn no_caller_is_refused_below_capacity() {
+    let results = compare("100 a second", 0.0, |_| 100.0);
 
-    for (_, by_age) in fared {
+    for (_, by_age) in results {
         assert!(by_age.in_time() > 0.97, "{by_age:?}");
         assert_eq!(by_age.refused, 0);
     }
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What is held against requests under which upstreams end, and how news of it is put together.
+//! Decisions on requests under which upstreams exit, and merging of updates on them.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 
 const HOLD_TIME: Duration = Duration::from_secs(600);
 
-/// Longer than a request rests after an end.
+/// Longer than the time after an exit in which the request doesn't run.
 const SETTLED: Duration = Duration::from_millis(100);
 
 fn request(n: u64) -> Fingerprint {
@@ -31,44 +31,47 @@
     UpstreamExit { incarnation, at }
 }
 
-/// A quarantine that knows of so many ends of a request, a second apart, and the time after the last of them.
-fn with_ends(n: u64, start: Instant) -> (Quarantine, Instant) {
+/// Returns a quarantine with `n` exits of a request, a second apart, and a time after the last of them.
+fn with_exits(n: u64, start: Instant) -> (Quarantine, Instant) {
     let mut quarantine = Quarantine::new(HOLD_TIME);
     let mut now = start;
-    for life in 0..n {
+    for incarnation in 0..n {
         now += ms(1000);
-        assert!(quarantine.record_exit(request(1), upstream(1), exit(life, now)));
+        assert!(quarantine.record_exit(request(1), upstream(1), exit(incarnation, now)));
     }
     (quarantine, now + SETTLED)
 }
 
 #[test]
-fn a_request_is_tried_with_care_after_an_end_and_held_back_after_the_third() {
+fn request_runs_on_trial_after_an_exit_and_is_quarantined_after_the_third() {
     let start = Instant::now();
-    let verdict = |ends| {
-        let (quarantine, now) = with_ends(ends, start);
+    let decision = |exits| {
+        let (quarantine, now) = with_exits(exits, start);
         (quarantine.decide(&request(1), now), now)
     };
 
-    assert_eq!(verdict(0).0, Decision::Allow);
-    assert_eq!(verdict(1).0, Decision::Trial(Isolation::Preferred));
-    assert_eq!(verdict(2).0, Decision::Trial(Isolation::Required));
-    let (held, now) = verdict(3);
-    assert_eq!(held, Decision::Quarantined(now - SETTLED + HOLD_TIME));
+    assert_eq!(decision(0).0, Decision::Allow);
+    assert_eq!(decision(1).0, Decision::Trial(Isolation::Preferred));
+    assert_eq!(decision(2).0, Decision::Trial(Isolation::Required));
+    let (quarantined, now) = decision(3);
+    assert_eq!(
+        quarantined,
+        Decision::Quarantined(now - SETTLED + HOLD_TIME)
+    );
 }
 
 #[test]
-fn a_suspect_rests_until_news_from_elsewhere_can_have_come() {
-    let (mut quarantine, now) = with_ends(1, Instant::now());
-    let ended = now + ms(500);
-    quarantine.record_exit(request(1), upstream(2), exit(7, ended));
+fn suspect_waits_until_updates_can_have_arrived() {
+    let (mut quarantine, now) = with_exits(1, Instant::now());
+    let exited = now + ms(500);
+    quarantine.record_exit(request(1), upstream(2), exit(7, exited));
 
-    let at_once = quarantine.decide(&request(1), ended);
+    let at_once = quarantine.decide(&request(1), exited);
 
     let Decision::WaitUntil(until) = at_once else {
         panic!("{at_once:?}");
     };
-    assert!(until > ended);
+    assert!(until > exited);
     assert!(matches!(
         quarantine.decide(&request(1), until),
         Decision::Trial(_)
@@ -76,21 +79,21 @@
 }
 
 #[test]
-fn a_suspect_is_tried_at_one_place_at_a_time() {
-    let (mut quarantine, now) = with_ends(1, Instant::now());
+fn suspect_is_on_trial_at_one_upstream_at_a_time() {
+    let (mut quarantine, now) = with_exits(1, Instant::now());
 
     let first = quarantine
         .begin_trial(&request(1), upstream(3), now)
         .expect("a trial");
     let second = quarantine.begin_trial(&request(1), upstream(4), now);
-    let (tried, at) = (
+    let (decision, upstreams) = (
         quarantine.decide(&request(1), now),
         quarantine.trial_upstreams(now),
     );
     assert!(quarantine.end_trial(&request(1), first, upstream(3)));
 
-    assert_eq!((second, tried), (None, Decision::InTrial));
-    assert_eq!(at, [upstream(3)]);
+    assert_eq!((second, decision), (None, Decision::InTrial));
+    assert_eq!(upstreams, [upstream(3)]);
     assert!(quarantine.trial_upstreams(now).is_empty());
     assert!(
         quarantine
@@ -100,8 +103,8 @@
 }
 
 #[test]
-fn a_trial_of_a_gateway_that_is_gone_does_not_bar_others_for_good() {
-    let (mut quarantine, now) = with_ends(2, Instant::now());
+fn trial_of_lost_gateway_times_out() {
+    let (mut quarantine, now) = with_exits(2, Instant::now());
 
     quarantine
         .begin_trial(&request(1), upstream(3), now)
@@ -116,8 +119,8 @@
 }
 
 #[test]
-fn an_end_elsewhere_does_not_end_a_trial() {
-    let (mut quarantine, now) = with_ends(1, Instant::now());
+fn exit_elsewhere_does_not_end_a_trial() {
+    let (mut quarantine, now) = with_exits(1, Instant::now());
     quarantine
         .begin_trial(&request(1), upstream(3), now)
         .expect("a trial");
@@ -131,14 +134,14 @@
 }
 
 #[test]
-fn a_request_that_ran_to_its_end_is_cleared_wherever_that_is_heard() {
-    let (mut here, now) = with_ends(3, Instant::now());
-    let (mut there, _) = with_ends(3, now - Duration::from_secs(3));
+fn completion_clears_request_at_all_gateways() {
+    let (mut here, now) = with_exits(3, Instant::now());
+    let (mut there, _) = with_exits(3, now - Duration::from_secs(3));
 
     assert!(here.record_completion(&request(1), now));
-    let news = here.suspect(&request(1)).expect("a case").clone();
-    there.merge(request(1), news);
-    // What was heard before comes once more, late.
+    let update = here.suspect(&request(1)).expect("a state").clone();
+    there.merge(request(1), update);
+    // An earlier update arrives again, late.
     there.record_exit(request(1), upstream(1), exit(2, now - ms(10)));
 
     assert_eq!(here.decide(&request(1), now), Decision::Allow);
@@ -146,12 +149,12 @@
 }
 
 #[test]
-fn a_request_that_is_held_back_is_tried_once_in_a_while_and_ever_more_seldom() {
-    let (mut quarantine, mut now) = with_ends(3, Instant::now());
+fn quarantine_time_doubles_after_each_failed_trial() {
+    let (mut quarantine, mut now) = with_exits(3, Instant::now());
     let mut holds = Vec::new();
-    for life in 10..13 {
+    for incarnation in 10..13 {
         let Decision::Quarantined(until) = quarantine.decide(&request(1), now) else {
-            panic!("it is held");
+            panic!("the request is quarantined");
         };
         holds.push(until - now + SETTLED);
         now = until;
@@ -162,7 +165,7 @@
         quarantine
             .begin_trial(&request(1), upstream(5), now)
             .expect("a trial");
-        quarantine.record_exit(request(1), upstream(5), exit(life, now));
+        quarantine.record_exit(request(1), upstream(5), exit(incarnation, now));
         now += SETTLED;
     }
 
@@ -170,8 +173,8 @@
 }
 
 #[test]
-fn requests_with_the_most_ends_are_kept_however_many_there_are() {
-    let (mut quarantine, now) = with_ends(3, Instant::now());
+fn eviction_keeps_requests_with_the_most_exits() {
+    let (mut quarantine, now) = with_exits(3, Instant::now());
 
     for n in 0..3 * MAX_SUSPECTS as u64 {
         quarantine.record_exit(request(100 + n), upstream(1), exit(n, now + ms(n)));
@@ -182,8 +185,8 @@
 }
 
 #[test]
-fn what_is_over_is_forgotten() {
-    let (mut quarantine, now) = with_ends(1, Instant::now());
+fn finished_states_expire() {
+    let (mut quarantine, now) = with_exits(1, Instant::now());
     quarantine.record_exit(request(2), upstream(1), exit(5, now));
     quarantine.record_completion(&request(2), now);
 
@@ -195,36 +198,36 @@
     assert!(quarantine.is_empty());
 }
 
-/// Something that one gateway may tell of a request; times in milliseconds.
+/// Update on a request from one gateway; times in milliseconds.
 #[derive(Debug, Clone)]
-enum News {
-    End { life: u64, at: u64 },
-    Finished { at: u64 },
+enum Update {
+    Exit { incarnation: u64, at: u64 },
+    Completed { at: u64 },
     Trial { number: u32, upstream: Option<u16> },
 }
 
-fn news() -> impl Strategy<Value = (u64, News)> {
-    let end = (0..12_u64).prop_map(|life| News::End {
-        life,
-        at: life * 700,
+fn update() -> impl Strategy<Value = (u64, Update)> {
+    let exit = (0..12_u64).prop_map(|incarnation| Update::Exit {
+        incarnation,
+        at: incarnation * 700,
     });
-    let finished = (0..9000_u64).prop_map(|at| News::Finished { at });
+    let completed = (0..9000_u64).prop_map(|at| Update::Completed { at });
     let trial = (1..4_u32, proptest::option::of(0..3_u16))
-        .prop_map(|(number, upstream)| News::Trial { number, upstream });
-    (0..3_u64, prop_oneof![6 => end, 1 => finished, 2 => trial])
+        .prop_map(|(number, upstream)| Update::Trial { number, upstream });
+    (0..3_u64, prop_oneof![6 => exit, 1 => completed, 2 => trial])
 }
 
-fn case(news: &News, start: Instant) -> SuspectState {
-    match *news {
-        News::End { life, at } => SuspectState {
-            exits: vec![exit(life, start + ms(at))],
+fn state(update: &Update, start: Instant) -> SuspectState {
+    match *update {
+        Update::Exit { incarnation, at } => SuspectState {
+            exits: vec![exit(incarnation, start + ms(at))],
             ..SuspectState::default()
         },
-        News::Finished { at } => SuspectState {
+        Update::Completed { at } => SuspectState {
             completed: Some(start + ms(at)),
             ..SuspectState::default()
         },
-        News::Trial {
+        Update::Trial {
             number,
             upstream: at,
         } => SuspectState {
@@ -242,37 +245,37 @@
     #![proptest_config(cases::cases(256))]
 
     #[test]
-    fn gateways_with_the_same_news_decide_alike(
-        (news, order) in proptest::collection::vec(news(), 1..40).prop_flat_map(|news| {
-            // In another order, and some of it twice.
-            let indices: Vec<usize> = (0..news.len()).chain(0..news.len() / 2).collect();
-            (Just(news), Just(indices).prop_shuffle())
+    fn gateways_with_the_same_updates_make_the_same_decisions(
+        (updates, order) in proptest::collection::vec(update(), 1..40).prop_flat_map(|updates| {
+            // In another order, with some updates twice.
+            let indices: Vec<usize> = (0..updates.len()).chain(0..updates.len() / 2).collect();
+            (Just(updates), Just(indices).prop_shuffle())
         })
     ) {
         let start = Instant::now();
         let (mut here, mut there) = (Quarantine::new(HOLD_TIME), Quarantine::new(HOLD_TIME));
-        // All requests are known, so that news of a trial alone isn't passed over at one of them.
+        // All requests have a state, so that neither gateway ignores an update with only a trial.
         for quarantine in [&mut here, &mut there] {
             for n in 0..3 {
                 quarantine.record_exit(request(n), upstream(9), exit(99, start + ms(9500)));
             }
         }
 
-        for (n, news) in &news {
-            here.merge(request(*n), case(news, start));
+        for (n, update) in &updates {
+            here.merge(request(*n), state(update, start));
         }
         for i in order {
-            let (n, news) = &news[i];
-            there.merge(request(*n), case(news, start));
+            let (n, update) = &updates[i];
+            there.merge(request(*n), state(update, start));
         }
 
         let now = start + ms(10_000);
         for n in 0..3 {
             prop_assert_eq!(here.suspect(&request(n)), there.suspect(&request(n)));
             prop_assert_eq!(here.decide(&request(n), now), there.decide(&request(n), now));
-            let ends = here.suspect(&request(n)).map_or(0, |c| c.exits.len());
-            prop_assert!(ends <= MAX_EXITS);
-            if ends >= QUARANTINE_THRESHOLD {
+            let exits = here.suspect(&request(n)).map_or(0, |s| s.exits.len());
+            prop_assert!(exits <= MAX_EXITS);
+            if exits >= QUARANTINE_THRESHOLD {
                 prop_assert!(here.is_quarantined(&request(n), now));
             }
         }
@@ -280,33 +283,33 @@
 }
 
 #[test]
-fn of_two_trials_that_begin_in_one_moment_one_goes_on() {
-    let (mut here, now) = with_ends(2, Instant::now());
-    let (mut there, _) = with_ends(2, now - SETTLED - ms(2000));
+fn one_of_two_simultaneous_trials_continues() {
+    let (mut here, now) = with_exits(2, Instant::now());
+    let (mut there, _) = with_exits(2, now - SETTLED - ms(2000));
     let first = here
         .begin_trial(&request(1), upstream(3), now)
         .expect("a trial");
     let second = there
         .begin_trial(&request(1), upstream(4), now)
         .expect("a trial");
-    let (told_here, told_there) = (
+    let (state_here, state_there) = (
         here.suspect(&request(1)).cloned(),
         there.suspect(&request(1)).cloned(),
     );
 
-    here.merge(request(1), told_there.expect("a case"));
-    there.merge(request(1), told_here.expect("a case"));
-    let released = there.end_trial(&request(1), second, upstream(4));
+    here.merge(request(1), state_there.expect("a state"));
+    there.merge(request(1), state_here.expect("a state"));
+    let was_current = there.end_trial(&request(1), second, upstream(4));
 
     assert!(here.is_current_trial(&request(1), first, upstream(3)));
     assert!(!there.is_current_trial(&request(1), second, upstream(4)));
-    assert!(!released, "it's the other one's");
+    assert!(!was_current, "the other gateway's trial is current");
     assert_eq!(there.trial_upstreams(now), [upstream(3)]);
 }
 
 #[test]
-fn a_trial_with_the_largest_number_there_is_ends_nobody_who_hears_of_it() {
-    let (mut quarantine, now) = with_ends(1, Instant::now());
+fn trial_with_the_maximum_number_does_not_overflow() {
+    let (mut quarantine, now) = with_exits(1, Instant::now());
     let trial = Trial {
         number: u32::MAX,
         upstream: None,
--- a/crates/decide/tests/rate_limit.rs
+++ b/crates/decide/tests/rate_limit.rs
@@ -17,15 +17,15 @@
     format!("front-{n}")
 }
 
-/// Most requests that a window may hold.
+/// Returns the maximum number of requests in a window.
 fn allowed(rate: f64) -> f64 {
     1.5 * rate * WINDOW.as_secs_f64() + 5.0
 }
 
-/// A gateway that always has a request waiting.
+/// Gateway that always has a queued request.
 struct Gateway {
     rank: usize,
-    /// Gateways that it knows, itself among them.
+    /// Number of gateways that it knows, including itself.
     known: usize,
     last: Option<Instant>,
 }
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Sends where it may.
+    /// Sends a request if the limit allows; returns whether it did.
     fn send(&mut self, limit: &RateLimit, now: Instant) -> bool {
         let next = limit.next(self.rank, self.known, self.last);
-        let may = next.is_none_or(|next| next <= now);
-        if may {
+        let may_send = next.is_none_or(|next| next <= now);
+        if may_send {
             self.last = Some(now);
         }
-        may
+        may_send
     }
 }
 
@@ -56,7 +56,7 @@
     (0..gateways).map(new).collect()
 }
 
-/// Most arrivals within any window.
+/// Returns the maximum number of arrivals within any window.
 fn busiest(mut arrivals: Vec<Instant>) -> usize {
     arrivals.sort();
     let within = |from: &Instant| {
@@ -66,27 +66,27 @@
     arrivals.iter().map(within).max().unwrap_or(0)
 }
 
-/// Arrivals over some seconds, where `heard` gives the time of the latest update.
+/// Returns the arrivals over `time`, where `last_update` gives the time of the latest update.
 fn arrivals(
     fleet: &mut [Gateway],
     rate: f64,
     time: Duration,
-    heard: impl Fn(Instant, Option<Instant>) -> Instant,
+    last_update: impl Fn(Instant, Option<Instant>) -> Instant,
     rng: &mut StdRng,
 ) -> Vec<Instant> {
     let start = Instant::now();
     let mut arrivals = Vec::new();
-    let mut answered = None;
+    let mut last_answer = None;
     for ms in 0..time.as_millis() as u64 {
         let now = start + Duration::from_millis(ms);
         let limit = RateLimit {
             rate,
-            advertised: heard(start, answered),
+            advertised: last_update(start, last_answer),
         };
         for gateway in fleet.iter_mut() {
             if gateway.send(&limit, now) {
                 arrivals.push(now + Duration::from_millis(rng.random_range(0..150)));
-                answered = Some(now);
+                last_answer = Some(now);
             }
         }
     }
@@ -96,7 +96,7 @@
 proptest! {
     #![proptest_config(cases::cases(64))]
 
-    /// Gateways know of the others before or after a change of the list.
+    /// Gateways know the list from before or after a change.
     #[test]
     fn no_window_exceeds_the_limit_while_gateways_know_different_lists(
         gateways in 1_usize..120,
@@ -111,12 +111,12 @@
             if knows_change { all } else { gateways }
         };
         let mut fleet: Vec<_> = (0..all).map(|n| Gateway::new(n, 0..list(n))).collect();
-        let heard = |start: Instant, answered: Option<Instant>| answered.unwrap_or(start);
+        let last_update = |start: Instant, last_answer: Option<Instant>| last_answer.unwrap_or(start);
 
-        let arrivals = arrivals(&mut fleet, rate, 3 * WINDOW, heard, &mut rng);
+        let arrivals = arrivals(&mut fleet, rate, 3 * WINDOW, last_update, &mut rng);
 
-        let most = busiest(arrivals);
-        prop_assert!(most as f64 <= allowed(rate), "{most} of {}", allowed(rate));
+        let max = busiest(arrivals);
+        prop_assert!(max as f64 <= allowed(rate), "{max} of {}", allowed(rate));
     }
 
     #[test]
@@ -126,32 +126,36 @@
         seed in any::<u64>(),
     ) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let heard = |start: Instant, _: Option<Instant>| start;
+        let last_update = |start: Instant, _: Option<Instant>| start;
 
-        let arrivals = arrivals(&mut fleet(gateways), rate, 8 * WINDOW, heard, &mut rng);
+        let arrivals = arrivals(&mut fleet(gateways), rate, 8 * WINDOW, last_update, &mut rng);
 
-        let most = busiest(arrivals);
-        prop_assert!(most as f64 <= allowed(rate), "{most} of {}", allowed(rate));
+        let max = busiest(arrivals);
+        prop_assert!(max as f64 <= allowed(rate), "{max} of {}", allowed(rate));
     }
 }
 
-/// The load that it is for: more requests than the upstream takes, at every gateway.
+/// Every gateway has more requests than the upstream accepts.
 #[test]
-fn an_upstream_gets_most_of_what_its_limit_allows() {
+fn upstream_gets_most_of_its_limit() {
     let mut rng = StdRng::seed_from_u64(3);
     for (rate, gateways) in [(1.0, 3), (1.0, 120), (8.0, 40), (40.0, 3), (40.0, 120)] {
-        let heard = |start: Instant, answered: Option<Instant>| answered.unwrap_or(start);
+        let last_update =
+            |start: Instant, last_answer: Option<Instant>| last_answer.unwrap_or(start);
         let time = 10 * WINDOW;
 
-        let arrivals = arrivals(&mut fleet(gateways), rate, time, heard, &mut rng);
+        let arrivals = arrivals(&mut fleet(gateways), rate, time, last_update, &mut rng);
 
-        let part = arrivals.len() as f64 / (rate * time.as_secs_f64());
-        assert!(part >= 0.6, "{part} of {rate} with {gateways} gateways");
+        let fraction = arrivals.len() as f64 / (rate * time.as_secs_f64());
+        assert!(
+            fraction >= 0.6,
+            "{fraction} of {rate} with {gateways} gateways"
+        );
     }
 }
 
 #[test]
-fn a_gateway_sends_once_it_has_had_no_update_of_the_senders_for_long() {
+fn gateway_sends_after_long_silence_of_the_senders() {
     let advertised = Instant::now();
     let limit = RateLimit {
         rate: 1.0,
@@ -168,7 +172,7 @@
 }
 
 #[test]
-fn a_limit_of_zero_is_probed_for_its_end() {
+fn limit_of_zero_is_probed() {
     let limit = RateLimit {
         rate: 0.0,
         advertised: Instant::now(),
--- a/crates/decide/tests/residency.rs
+++ b/crates/decide/tests/residency.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_list_allows_all_failure_domains_of_its_regions_and_no_other() {
+fn list_allows_only_failure_domains_of_its_regions() {
     let recife = regions(&["recife"]);
 
     for (route, workspace) in [(&recife[..], &[][..]), (&[][..], &recife[..])] {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn route_and_workspace_both_bind() {
+fn route_and_workspace_lists_both_apply() {
     let (both, fortaleza) = (regions(&["recife", "fortaleza"]), regions(&["fortaleza"]));
 
     assert!(is_allowed(&domains(), "for-a", &both, &fortaleza));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_failure_domain_of_unknown_region_is_in_no_allowed_place() {
+fn failure_domain_of_unknown_region_is_in_no_allowed_place() {
     assert!(!is_allowed(
         &domains(),
         "unknown",
--- a/crates/decide/tests/slow_start.rs
+++ b/crates/decide/tests/slow_start.rs
@@ -24,36 +24,36 @@
     format!("10.0.0.{n}:8000")
 }
 
-/// A gateway: to which upstreams it may send, and when it last did.
+/// Gateway with the upstreams that it may send to and when it last did.
 struct Gateway {
-    sends: Vec<bool>,
+    sends_to: Vec<bool>,
     last: Vec<Option<Instant>>,
 }
 
 impl Gateway {
     fn new(n: usize, known: impl Iterator<Item = usize>, upstreams: usize) -> Gateway {
         let others: Vec<_> = known.filter(|other| *other != n).map(vm).collect();
-        let sends = |to: usize| is_sender(rank(&upstream(to), &vm(n), &others));
+        let sends_to = |to: usize| is_sender(rank(&upstream(to), &vm(n), &others));
         Gateway {
-            sends: (0..upstreams).map(sends).collect(),
+            sends_to: (0..upstreams).map(sends_to).collect(),
             last: vec![None; upstreams],
         }
     }
 
-    /// Sends to an upstream where it may.
+    /// Sends to an upstream if the limit allows; returns whether it did.
     fn send(&mut self, to: usize, limit: Limit, now: Instant) -> bool {
         let Some(interval) = limit.interval() else {
             return false;
         };
-        let may = self.sends[to] && is_due(self.last[to], interval, now);
-        if may {
+        let may_send = self.sends_to[to] && is_due(self.last[to], interval, now);
+        if may_send {
             self.last[to] = Some(now);
         }
-        may
+        may_send
     }
 }
 
-/// Most arrivals within any second.
+/// Returns the maximum number of arrivals within any second.
 fn busiest_second(mut arrivals: Vec<Instant>) -> usize {
     arrivals.sort();
     let within = |from: &Instant| {
@@ -69,8 +69,8 @@
 proptest! {
     #![proptest_config(cases::cases(64))]
 
-    /// Gateways always have a request waiting, know of the others before or after a change of the list, and their
-    /// requests are on their way for up to 20 ms.
+    /// Gateways always have a queued request and know the list from before or after a change. Their
+    /// requests take up to 20 ms to arrive.
     #[test]
     fn no_second_exceeds_the_limit_while_gateways_know_different_lists(
         gateways in 1_usize..40,
@@ -98,27 +98,27 @@
             }
         }
 
-        let most = busiest_second(arrivals);
-        prop_assert!(most as f64 <= limit.per_second(), "{most} of {}", limit.per_second());
+        let max = busiest_second(arrivals);
+        prop_assert!(max as f64 <= limit.per_second(), "{max} of {}", limit.per_second());
     }
 }
 
 #[test]
-fn each_upstream_has_as_many_senders_as_there_may_be() {
+fn each_upstream_has_the_full_number_of_senders() {
     for gateways in [1, 2, 11, 121] {
         for to in 0..20 {
-            let is_one = |n: &usize| {
+            let sends = |n: &usize| {
                 let others: Vec<_> = (0..gateways).filter(|o| o != n).map(vm).collect();
                 is_sender(rank(&upstream(to), &vm(*n), &others))
             };
-            let senders = (0..gateways).filter(is_one).count();
+            let senders = (0..gateways).filter(sends).count();
             assert_eq!(senders, gateways.min(SENDERS));
         }
     }
 }
 
 #[test]
-fn a_limit_that_leaves_nothing_for_a_sender_has_no_interval() {
+fn limit_too_low_for_a_sender_has_no_interval() {
     let limit = Limit {
         rate: 1.0,
         overage: 1.0,
@@ -128,30 +128,30 @@
     assert_eq!(limit.interval(), None);
 }
 
-/// The load that it is for: 15 upstreams of a failure domain return cold, and its 11 gateways get 145 requests a
-/// second, of which each waits for at most 125 ms.
+/// 15 upstreams of a failure domain return cold, and its 11 gateways get 145 requests a second, each of
+/// which waits for at most 125 ms.
 #[test]
-fn a_failure_domain_that_returns_cold_serves_most_of_its_own_callers() {
+fn cold_failure_domain_serves_most_of_its_own_callers() {
     let (gateways, upstreams) = (11, 15);
     let mut rng = StdRng::seed_from_u64(5);
     let mut fleet: Vec<_> = (0..gateways)
         .map(|n| Gateway::new(n, 0..gateways, upstreams))
         .collect();
     let start = Instant::now();
-    let (mut asked, mut served) = (0, 0);
-    let mut waiting: Vec<(usize, Instant)> = Vec::new();
+    let (mut requests, mut served) = (0, 0);
+    let mut queued: Vec<(usize, Instant)> = Vec::new();
     let mut arrivals = vec![Vec::new(); upstreams];
 
     for ms in 0..3000 {
         let now = start + Duration::from_millis(ms);
         if rng.random_bool(0.145) {
-            waiting.push((
+            queued.push((
                 rng.random_range(0..gateways),
                 now + Duration::from_millis(125),
             ));
-            asked += 1;
+            requests += 1;
         }
-        waiting.retain(|(gateway, until)| {
+        queued.retain(|(gateway, until)| {
             let sent = (0..upstreams).find(|to| fleet[*gateway].send(*to, LIMIT, now));
             if let Some(to) = sent {
                 arrivals[to].push(now);
@@ -161,14 +161,14 @@
         });
     }
 
-    let most = arrivals.into_iter().map(busiest_second).max().unwrap_or(0);
-    assert!(served * 10 >= asked * 7, "{served} of {asked}");
-    assert!(most as f64 <= LIMIT.per_second(), "{most}");
+    let max = arrivals.into_iter().map(busiest_second).max().unwrap_or(0);
+    assert!(served * 10 >= requests * 7, "{served} of {requests}");
+    assert!(max as f64 <= LIMIT.per_second(), "{max}");
 }
 
-/// All gateways lose power and start again while they send: none knows what it sent before.
+/// All gateways lose power and restart while they send, so none knows what it sent before.
 #[test]
-fn the_limit_holds_while_all_senders_start_again() {
+fn limit_holds_while_all_senders_restart() {
     let gateways = 11;
     let start = Instant::now();
     let mut arrivals = Vec::new();
@@ -189,6 +189,6 @@
         arrivals.extend(sent);
     }
 
-    let most = busiest_second(arrivals);
-    assert!(most as f64 <= LIMIT.per_second(), "{most}");
+    let max = busiest_second(arrivals);
+    assert!(max as f64 <= LIMIT.per_second(), "{max}");
 }
