--- a/crates/decide/src/outlier_detection.rs
+++ b/crates/decide/src/outlier_detection.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-/// Time constant of the decay: an outcome of this age counts for a third of its initial weight.
+/// Time constant of the decay: an outcome of this age counts for about a third of its initial weight.
 const DECAY_TIME: Duration = Duration::from_secs(2);
 
 /// Minimum decayed failures for an upstream to be an outlier.
@@ -26,7 +26,7 @@
 }
 
 impl OutcomeCounts {
-    /// Returns whether this many failures suffice for an outlier.
+    /// Returns whether this many failures may make an upstream an outlier.
     pub fn may_be_failing(failed: f64) -> bool {
         failed >= MIN_FAILED
     }
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -92,7 +92,7 @@
     Trial(Isolation),
     /// The request may run on trial from this time on.
     WaitUntil(Instant),
-    /// The request is on trial at another place.
+    /// The request is already on trial.
     InTrial,
     /// The request is quarantined until this time.
     Quarantined(Instant),
--- a/crates/decide/src/readers.rs
+++ b/crates/decide/src/readers.rs
@@ -34,13 +34,14 @@
 /// Additional wait for an initial replica for each later rank.
 const WAIT_STEP: Duration = Duration::from_millis(100);
 
-/// Delay after the first failed read.
+/// Delay after the first failed read, before jitter.
 const BASE_DELAY: Duration = Duration::from_millis(250);
 
-/// Maximum delay of the first two gateways by rank, whose reads inform the others of changes.
+/// Maximum delay, before jitter, of the first two gateways by rank, whose reads inform the others of
+/// changes.
 const MAX_READER_DELAY: Duration = Duration::from_secs(1);
 
-/// Maximum delay of the other gateways.
+/// Maximum delay of the other gateways, before jitter.
 const MAX_DELAY: Duration = Duration::from_secs(4);
 
 /// Returns the rank by which a gateway reads, given whether it failed to replicate from the gateways
