--- a/crates/beacon/src/lib.rs
+++ b/crates/beacon/src/lib.rs
@@ -1,9 +1,9 @@
-//! Datagrams between processes: what an engine holds and how loaded it is, which chunks a loader
-//! has, and what each gateway has in flight.
+//! Datagram transport and messages between gateways and loaders.
 //!
-//! Every datagram states the whole of its subject, so one that is lost costs time only: the next
-//! one says it again. Nothing is acknowledged. Numbers that order them grow within one life of a
-//! sender; a new life has a larger `Incarnation`, unless the VM's clock was set back.
+//! Loaders publish the status of their engines and the chunks they hold; gateways publish their loads, suspect
+//! requests and rate limits. Nothing is acknowledged: every datagram carries its subject in full, so a lost one
+//! only delays the receiver until the next. Sequence numbers grow within one incarnation of a sender; a new
+//! incarnation has a larger `Incarnation`, unless the VM's clock was set back.
 
 mod member;
 mod msg;
--- a/crates/beacon/src/member.rs
+++ b/crates/beacon/src/member.rs
@@ -1,31 +1,31 @@
-//! Processes that know of each other through the platform's store.
+//! Member list entries, by which processes find each other through the platform's store.
 
 use std::net::SocketAddr;
 
 use base::{DomainName, VmId};
 use serde::{Deserialize, Serialize};
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Serves callers' requests.
     Gateway,
-    /// Brings weights to the engine beside it.
+    /// Fetches weights for the engine on its VM.
     Loader,
 }
 
-/// A process, as it registers itself.
+/// A registered process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// VM.
     pub vm: VmId,
-    /// What it does.
+    /// Role.
     pub role: Role,
     /// Failure domain.
     pub domain: DomainName,
-    /// Where it takes datagrams.
+    /// Address that receives datagrams.
     pub beacon: SocketAddr,
-    /// Where it passes on copies of documents (gateway) or chunks (loader).
+    /// Address that serves replicated documents (gateway) or chunks (loader) to other processes.
     #[serde(rename = "passes_on")]
     pub peer_addr: SocketAddr,
 }
--- a/crates/beacon/src/msg.rs
+++ b/crates/beacon/src/msg.rs
@@ -1,4 +1,7 @@
-//! Messages.
+//! Message types.
+//!
+//! Datagrams are encoded by postcard, which writes fields by position: fields and variants must keep their order.
+//! [`SuspectUpdate`] and [`TrialUpdate`] are also stored as JSON, by field name.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,144 +10,147 @@
 use catalog::{Release, ReleaseList, StartTime};
 use serde::{Deserialize, Serialize};
 
-/// What an engine holds of one model.
+/// Weights of one model that an engine holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// Model.
     pub model: Model,
-    /// Version of all of its layers; `None` while it holds a part or a mixture.
+    /// Version of all its layers; `None` while layers are missing or of different versions.
     pub version: Option<u64>,
 }
 
-/// State of an engine, told by the loader beside it.
+/// State of an engine, published by the loader on its VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
     /// Incarnation of the loader.
     pub incarnation: Incarnation,
-    /// Grows with each note of that incarnation.
+    /// Sequence number within that incarnation.
     pub sequence: u64,
     /// Address of the engine.
     pub upstream: SocketAddr,
-    /// Whether it takes no new requests while it changes weights.
+    /// Whether it accepts no new requests because it switches weights.
     pub switching: bool,
-    /// Time until it is to leave service for new weights; `None` where that isn't planned.
+    /// Time until it leaves service for new weights; `None` if no switch is planned.
     pub leaves_in: Option<Duration>,
-    /// What it holds.
+    /// Weights it holds.
     pub holdings: Vec<Holding>,
-    /// Requests it runs.
+    /// Running requests.
     pub running: u32,
-    /// Requests it has queued.
+    /// Queued requests.
     pub queued: u32,
-    /// Releases that the loader acts on.
+    /// Releases known to the loader.
     pub releases: Vec<Release>,
-    /// Start of the engine's life, where it tells it.
+    /// Start time of the engine, if it reports one.
     pub start_time: Option<StartTime>,
 }
 
-/// One gateway's part of what an upstream runs, and how it lately fared there.
+/// Requests of one gateway, or of one failure domain, at an upstream, and their recent outcomes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Address of the upstream.
     pub upstream: SocketAddr,
     /// Requests in flight.
     pub requests: u16,
-    /// Prompt tokens of requests that have had no event yet.
+    /// Prompt tokens of requests without a first event.
     pub unread: u32,
-    /// Requests that lately failed there, older ones counting less.
+    /// Recently failed requests, decayed by age.
     pub failed: u16,
-    /// Requests that were lately answered, counted alike.
+    /// Recently answered requests, decayed by age.
     pub answered: u16,
 }
 
-/// What a gateway has in flight at all upstreams, those left out having nothing; or what all gateways of a
-/// failure domain have, those left out having what was told before.
+/// Loads of one gateway, or of all gateways of a failure domain, and the revisions of the sender's documents.
+///
+/// An upstream that is omitted has nothing in flight in the update of a gateway, and its last published load in
+/// the update of a failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadUpdate {
-    /// VM of the gateway that sends it.
+    /// VM of the sending gateway.
     pub from: VmId,
-    /// Its failure domain.
+    /// Failure domain of that gateway.
     pub domain: DomainName,
-    /// Incarnation of the gateway.
+    /// Incarnation of that gateway.
     pub incarnation: Incarnation,
-    /// Grows with each note of that incarnation.
+    /// Sequence number within that incarnation.
     pub sequence: u64,
-    /// Whether it reaches the platform's store.
+    /// Whether that gateway reaches the platform's store.
     pub reaches_store: bool,
-    /// Revision of the configuration it holds.
+    /// Revision of its configuration.
     pub configuration: Revision,
-    /// Revision of the list of our own processes it holds.
+    /// Revision of its member list.
     pub members: Revision,
-    /// Revision of the list of upstreams it holds.
+    /// Revision of its list of upstreams.
     pub upstreams: Revision,
     /// Time since the store last confirmed that list.
     pub upstreams_age: Duration,
-    /// Where it passes its copies of documents on.
+    /// Address that serves its replicated documents.
     pub replica_addr: SocketAddr,
-    /// Loads; of a failure domain those that changed most, and nothing in flight where they have gone.
+    /// Loads. The update of a failure domain has those that changed most; a load that has ended is listed with
+    /// nothing in flight.
     pub loads: Vec<Load>,
 }
 
-/// What has changed of one gateway's loads, passed on by another of its failure domain.
+/// Changed loads of one gateway, relayed by another gateway of its failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadChange {
-    /// VM of the gateway whose loads they are.
+    /// VM of the gateway that has these loads.
     pub from: VmId,
     /// Incarnation of that gateway.
     pub incarnation: Incarnation,
-    /// Number of its note that tells the same.
+    /// Sequence number of the update of that gateway with the same loads.
     pub sequence: u64,
-    /// Loads that changed, as they are now; nothing in flight where they have gone.
+    /// Current values of the loads that changed; a load that has ended is listed with nothing in flight.
     pub loads: Vec<Load>,
 }
 
-/// What a gateway knows of a request under which upstreams ended; times are those since.
+/// A gateway's record of a request during which upstreams exited. Durations are times elapsed since the event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectUpdate {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Lives of upstreams that ended under it since it last ran to its end.
+    /// Upstream incarnations that exited while they ran it, since it last ran to completion.
     #[serde(rename = "ends")]
     pub exits: Vec<(LifeId, Duration)>,
-    /// When it last ran to its end, where that is remembered.
+    /// Last time it ran to completion, if recorded.
     pub finished: Option<Duration>,
-    /// Where it's tried now, or was tried last.
+    /// Current or last trial.
     pub trial: Option<TrialUpdate>,
 }
 
-/// A trial of such a request.
+/// A trial of a suspect request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialUpdate {
-    /// Grows with each trial of the request.
+    /// Number of the trial, counted per request.
     pub number: u32,
-    /// Where it runs; `None` once it's over.
+    /// Upstream that runs it; `None` once the trial is over.
     pub upstream: Option<SocketAddr>,
-    /// Time since it began.
+    /// Time since it started.
     pub ago: Duration,
 }
 
-/// Rate limit of an upstream, by its latest answer.
+/// Rate limit of an upstream, as advertised in its latest response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimitUpdate {
-    /// The upstream.
+    /// Incarnation of the upstream.
     pub incarnation: LifeId,
-    /// Requests in 1,000 s that it takes of all gateways together; `None` once the limit is lifted.
+    /// Requests per 1,000 s that it accepts from all gateways together; `None` once the limit is lifted.
     pub per_1000_s: Option<u64>,
-    /// Time since that answer.
+    /// Time since that response.
     pub ago: Duration,
 }
 
-/// Chunks of a version that a loader has.
+/// Chunks of a version that a loader holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkMap {
-    /// Where the loader serves chunks.
+    /// Address that serves the loader's chunks.
     pub from: SocketAddr,
     /// Model.
     pub model: Model,
     /// Version.
     pub version: u64,
-    /// A bit for each chunk, the lowest bit of each byte first.
+    /// One bit per chunk, least significant bit first.
     pub bits: Vec<u8>,
-    /// Whether it asks the receiver to say what it has in turn.
+    /// Whether the receiver should reply with its own chunk map.
     pub wants_reply: bool,
 }
 
@@ -158,7 +164,7 @@
         have.chunks(8).map(byte).collect()
     }
 
-    /// The flags of the first `n` chunks.
+    /// Returns the flags of the first `n` chunks.
     pub fn unpack(&self, n: usize) -> Vec<bool> {
         let flag = |i: usize| self.bits.get(i / 8).is_some_and(|b| b >> (i % 8) & 1 == 1);
         (0..n).map(flag).collect()
@@ -166,7 +172,7 @@
 }
 
 impl Msg {
-    /// Kind, as metrics name it.
+    /// Returns the kind, a label value of the metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Msg::Engine(_) => "engine",
@@ -187,27 +193,26 @@
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Msg {
-    /// From a loader to gateways.
+    /// From a loader to gateways: the status of its engine.
     Engine(EngineStatus),
-    /// From a gateway to those of its failure domain: what it has in flight itself.
+    /// From a gateway to gateways of its failure domain: its own loads.
     Load(LoadUpdate),
-    /// From one gateway of a failure domain to one of each other domain: what all of its domain have in
-    /// flight.
+    /// From one gateway of a failure domain to one gateway of each other domain: the loads of its whole domain.
     DomainLoad(LoadUpdate),
-    /// The same, passed on to the gateways of the receiver's failure domain.
+    /// A [`Msg::DomainLoad`], relayed to the gateways of the receiver's failure domain.
     RelayedLoad(LoadUpdate),
-    /// From one gateway of a failure domain to the others of it: what changed lately in all of it.
+    /// From one gateway of a failure domain to its other gateways: recent changes of loads in the domain.
     LoadChanges(Vec<LoadChange>),
-    /// From a loader to loaders.
+    /// From a loader to loaders: the chunks that it holds.
     Chunks(ChunkMap),
-    /// From a gateway to a loader whose releases are older than the gateway's.
+    /// From a gateway to loaders: all releases, when one becomes known or a loader misses one.
     Releases(ReleaseList),
-    /// From a gateway to those of its failure domain: requests under which upstreams ended.
+    /// From a gateway to gateways of its failure domain: requests during which upstreams exited.
     Suspects(Vec<SuspectUpdate>),
-    /// The same to a gateway of another failure domain, which passes on what is news to it.
+    /// [`Msg::Suspects`] to a gateway of another failure domain, which relays those that are new to it.
     FarSuspects(Vec<SuspectUpdate>),
-    /// From a gateway to those of its failure domain: rate limits that upstreams advertise.
+    /// From a gateway to gateways of its failure domain: rate limits that upstreams advertise.
     RateLimits(Vec<RateLimitUpdate>),
-    /// The same to a gateway of another failure domain, which relays what it didn't know.
+    /// [`Msg::RateLimits`] to a gateway of another failure domain, which relays those that are new to it.
     FarRateLimits(Vec<RateLimitUpdate>),
 }
--- a/crates/beacon/src/socket.rs
+++ b/crates/beacon/src/socket.rs
@@ -1,4 +1,4 @@
-//! The socket that datagrams travel by.
+//! UDP socket that sends and receives messages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,30 +11,29 @@
 /// Log prefix of this part.
 const PART: &str = "beacon";
 
-/// Largest datagram sent, in bytes; below what one packet carries on common links.
+/// Largest datagram sent, in bytes; fits into one packet on common links.
 pub const MAX_DATAGRAM: usize = 1400;
 
-/// Bytes of a datagram with a list that hold no item: its kind and the number of items.
-const LIST_HEAD: usize = 8;
+/// Bytes reserved for the header of a list message: its kind and the number of items.
+const LIST_HEADER_BYTES: usize = 8;
 
-/// Largest datagram taken, in bytes.
-const RECEIVE_BUFFER: usize = 2048;
+/// Largest datagram received, in bytes.
+const RECEIVE_BUFFER_BYTES: usize = 2048;
 
-/// Sends and takes datagrams.
+/// Socket for messages.
 #[derive(Debug, Clone)]
 pub struct Beacon {
     socket: Arc<UdpSocket>,
 }
 
 impl Beacon {
-    /// Binds the socket.
+    /// Binds a socket to an address.
     pub async fn bind(addr: SocketAddr) -> std::io::Result<Beacon> {
         let socket = Arc::new(UdpSocket::bind(addr).await?);
         Ok(Beacon { socket })
     }
 
-    /// Sends a message to each receiver; one that can't be sent is dropped, for the next one
-    /// states the same.
+    /// Sends a message to each receiver. Errors are only logged: the next message carries the same state.
     pub fn send(&self, msg: &Msg, to: impl IntoIterator<Item = SocketAddr>) {
         let buf = match encode(msg) {
             Ok(buf) if buf.len() <= MAX_DATAGRAM => buf,
@@ -60,14 +59,14 @@
             .increment(sent * buf.len() as u64);
     }
 
-    /// The next message, and who sent it; passes over what is no message.
+    /// Receives the next message and its sender; skips datagrams that can't be decoded.
     pub async fn recv(&self) -> (Msg, SocketAddr) {
-        let mut buf = [0; RECEIVE_BUFFER];
+        let mut buf = [0; RECEIVE_BUFFER_BYTES];
         loop {
             let (n, from) = match self.socket.recv_from(&mut buf).await {
                 Ok(received) => received,
                 Err(e) => {
-                    // An earlier datagram met a closed port; the socket itself is sound.
+                    // An earlier datagram was sent to a closed port; the socket itself still works.
                     debug!(target: PART, "{PART}: event=receive_failed why=\"{e}\"");
                     tokio::task::yield_now().await;
                     continue;
@@ -81,29 +80,29 @@
     }
 }
 
-/// Items in as few datagrams as hold them, each datagram a message made by `msg`.
+/// Splits items, in order, into messages that fit into one datagram each; `msg` makes a message of a list.
 pub fn batch_messages<T: Clone>(items: Vec<T>, msg: fn(Vec<T>) -> Msg) -> Vec<Msg> {
-    // Bytes that an item takes, beside the head of the datagram.
+    // Upper bound of an item's encoded size, since it includes a message header.
     let size = |item: &T| encode(&msg(vec![item.clone()])).map_or(MAX_DATAGRAM, |buf| buf.len());
-    let mut packed = Vec::new();
+    let mut messages = Vec::new();
     let mut batch = Vec::new();
-    let mut bytes = LIST_HEAD;
+    let mut bytes = LIST_HEADER_BYTES;
     for item in items {
         let size = size(&item);
         if bytes + size > MAX_DATAGRAM && !batch.is_empty() {
-            packed.push(msg(std::mem::take(&mut batch)));
-            bytes = LIST_HEAD;
+            messages.push(msg(std::mem::take(&mut batch)));
+            bytes = LIST_HEADER_BYTES;
         }
         bytes += size;
         batch.push(item);
     }
     if !batch.is_empty() {
-        packed.push(msg(batch));
+        messages.push(msg(batch));
     }
-    packed
+    messages
 }
 
-/// A message as it travels.
+/// Encodes a message as a datagram.
 pub fn encode(msg: &Msg) -> postcard::Result<Vec<u8>> {
     postcard::to_stdvec(msg)
 }
--- a/crates/beacon/tests/messages.rs
+++ b/crates/beacon/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages as they travel.
+//! Encoding of messages, and their batches.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     ([10, 0, 0, 1], n).into()
 }
 
-fn note(n: u64, exits: usize) -> SuspectUpdate {
+fn update(n: u64, exits: usize) -> SuspectUpdate {
     let ago = Duration::from_millis(n);
     SuspectUpdate {
         request: Fingerprint::of(&[&n.to_le_bytes()]),
@@ -29,32 +29,32 @@
     #![proptest_config(cases::cases(512))]
 
     #[test]
-    fn what_is_no_message_ends_nobody_who_reads_it(
+    fn decoding_arbitrary_bytes_does_not_panic(
         buf in proptest::collection::vec(any::<u8>(), 0..MAX_DATAGRAM)
     ) {
-        // Whatever it says: that it's read to an error or to a message is all that is asked.
+        // Both an error and any message are fine, as long as a decoded message can be encoded again.
         if let Ok(msg) = postcard::from_bytes::<Msg>(&buf) {
             prop_assert!(encode(&msg).is_ok());
         }
     }
 
     #[test]
-    fn suspects_are_packed_into_datagrams_and_none_is_left_out(
-        ends in proptest::collection::vec(0..9_usize, 0..120)
+    fn batches_fit_datagrams_and_hold_every_suspect(
+        exits in proptest::collection::vec(0..9_usize, 0..120)
     ) {
-        let notes: Vec<SuspectUpdate> = ends.iter().zip(0..).map(|(e, n)| note(n, *e)).collect();
+        let updates: Vec<SuspectUpdate> = exits.iter().zip(0..).map(|(e, n)| update(n, *e)).collect();
 
-        let msgs = batch_messages(notes.clone(), Msg::FarSuspects);
+        let msgs = batch_messages(updates.clone(), Msg::FarSuspects);
 
-        let mut told = Vec::new();
+        let mut received = Vec::new();
         for msg in &msgs {
             let buf = encode(msg).expect("a message");
             prop_assert!(buf.len() <= MAX_DATAGRAM);
-            let Ok(Msg::FarSuspects(notes)) = postcard::from_bytes(&buf) else {
-                return Err(TestCaseError::fail("it's read as it was written"));
+            let Ok(Msg::FarSuspects(updates)) = postcard::from_bytes(&buf) else {
+                return Err(TestCaseError::fail("a batch decodes to another message"));
             };
-            told.extend(notes);
+            received.extend(updates);
         }
-        prop_assert_eq!(told, notes);
+        prop_assert_eq!(received, updates);
     }
 }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,7 +1,7 @@
-//! What operators have configured: routes, services, workspaces and request limits.
+//! Configuration by operators: routes, services, workspaces and request limits.
 //!
-//! A [`Catalog`] is one revision of that, immutable and shared. A process replaces it as a whole by
-//! a newer one and never goes back, so a request sees one revision from its head to its answer.
+//! A [`Catalog`] is one immutable, shared revision of the configuration. A process only ever replaces it by a
+//! newer one, as a whole, so a request sees a single revision throughout.
 
 mod engine;
 mod route;
@@ -16,22 +16,22 @@
 pub use engine::{Engine, Origin};
 pub use route::{Route, RouteKind, Share};
 
-/// Name of a service that routes lead to.
+/// Name of a service.
 pub type ServiceName = String;
 
-/// Secret that callers send to show which workspace they belong to.
+/// Secret by which callers authenticate as members of a workspace.
 pub type ApiKey = String;
 
-/// Start of an upstream's life, as Unix time in milliseconds; tells two lives under one id apart.
+/// Start time of an upstream as Unix time in milliseconds; distinguishes incarnations under the same id.
 pub type StartTime = u64;
 
-/// Version of a model's weights; grows with each release.
+/// Version of a model's weights; increases with each release.
 pub type WeightsVersion = u64;
 
-/// Version that engines hold from their start where none was released.
+/// Version that engines hold from the start if none was released.
 pub const FIRST_VERSION: WeightsVersion = 1;
 
-/// Newest version of a model that was released.
+/// Newest released version of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// Model.
@@ -40,18 +40,18 @@
     pub version: WeightsVersion,
 }
 
-/// Newest releases of all models that have one.
+/// Newest release of each released model.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseList {
-    /// Grows with each release.
+    /// Revision; increases with each release.
     pub revision: Revision,
-    /// Releases.
+    /// Releases, one per model.
     pub releases: Vec<Release>,
 }
 
 impl ReleaseList {
-    /// Takes another list: of each model the higher version stays, whatever the revisions, since a write whose
-    /// answer was lost may take effect again after a newer one. `true` where any version is higher now.
+    /// Merges another list and returns whether the version of any model increased. The higher version of each model
+    /// wins regardless of revisions, since a write whose response was lost may take effect again after a newer one.
     pub fn merge(&mut self, other: &ReleaseList) -> bool {
         self.revision = self.revision.max(other.revision);
         let mut raised = false;
@@ -70,13 +70,13 @@
         true
     }
 
-    /// Version of a model; `None` where none was released.
+    /// Returns the version of a model; `None` if none was released.
     pub fn version(&self, model: &str) -> Option<WeightsVersion> {
         let of_model = self.releases.iter().find(|r| r.model == model);
         of_model.map(|r| r.version)
     }
 
-    /// Versions that are higher than those of another list.
+    /// Returns the releases with higher versions than in another list.
     pub fn ahead_of<'a>(&'a self, other: &'a [Release]) -> impl Iterator<Item = &'a Release> {
         let behind = |r: &&Release| {
             let known = other.iter().find(|o| o.model == r.model);
@@ -85,53 +85,53 @@
         self.releases.iter().filter(behind)
     }
 
-    /// Whether it has a higher version of any model than another list.
+    /// Returns whether any model has a higher version than in another list.
     pub fn is_ahead_of(&self, other: &[Release]) -> bool {
         self.ahead_of(other).next().is_some()
     }
 }
 
-/// Bounds of what a caller may send, and how slowly.
+/// Limits on requests and connections of callers.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestLimits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub body_bytes: usize,
-    /// Longest rest of an open connection.
+    /// Idle timeout of a connection.
     pub idle_time: Duration,
 }
 
-/// A service that routes lead to.
+/// A service that routes refer to.
 #[derive(Debug, Clone)]
 pub struct Service {
     /// Name.
     pub name: ServiceName,
-    /// How its upstreams run models; `None` for a plain service.
+    /// Models that its upstreams run; `None` for a service without models.
     pub engine: Option<Engine>,
-    /// Where its weights are drawn from; `None` where it isn't an origin.
+    /// Origin of weights, if the service is one.
     pub origin: Option<Origin>,
-    /// Requests a second that a cold upstream bears; `None` where upstreams are never cold.
+    /// Requests per second that a cold upstream can handle; `None` if its upstreams are never cold.
     pub cold_rate: Option<f64>,
 }
 
-/// A caller's workspace.
+/// Rules for requests of a workspace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkspacePolicy {
-    /// Name that upstreams are told.
+    /// Name of the workspace, which is sent to upstreams.
     pub workspace: Workspace,
-    /// Rank of its requests in place of the route's, 0 being the most urgent.
+    /// Priority that overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Places where its requests may run; empty for anywhere.
+    /// Places where requests may run; empty for anywhere.
     pub allowed_places: Vec<Place>,
 }
 
-/// Who may call.
+/// Access control for callers.
 #[derive(Debug, Clone)]
 pub enum Access {
-    /// No workspaces are configured; nobody needs a key.
+    /// No workspaces are configured and no key is needed.
     Open,
-    /// Callers show one of these keys, but on public routes.
+    /// Callers need one of these keys, except on public routes.
     Keys(Map<ApiKey, Arc<WorkspacePolicy>>),
 }
 
@@ -140,16 +140,16 @@
 pub struct Catalog {
     /// Revision; larger ones are newer.
     pub revision: Revision,
-    /// Limits.
+    /// Request limits.
     pub limits: RequestLimits,
-    /// Who may call.
+    /// Access control.
     pub access: Access,
     by_host: Map<String, Vec<Arc<Route>>>,
     services: Map<ServiceName, Arc<Service>>,
 }
 
 impl Catalog {
-    /// A catalog of routes and services.
+    /// Creates a catalog.
     pub fn new(
         revision: Revision,
         routes: Vec<Route>,
@@ -178,24 +178,24 @@
         }
     }
 
-    /// The route with the longest prefix that begins the path; `None` where there is none.
+    /// Returns the route of a host with the longest prefix of a path, if any.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.by_host.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// The origin of weights.
+    /// Returns the origin of weights.
     pub fn origin(&self) -> Option<&Origin> {
         self.services.values().find_map(|s| s.origin.as_ref())
     }
 
-    /// Models that the upstreams of a service run.
+    /// Returns the models that the upstreams of a service run.
     pub fn models(&self, service: &str) -> &[Model] {
         let engine = self.service(service).and_then(|s| s.engine.as_ref());
         engine.map_or(&[], |e| &e.models)
--- a/crates/catalog/src/route.rs
+++ b/crates/catalog/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which service a request goes to, and what may be done with it.
+//! Routes: the services of a request and the rules for handling it.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 
 use crate::ServiceName;
 
-/// What may be repeated.
+/// Kind of a route, by how often its requests may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Idempotent; may run more than once.
+    /// Idempotent requests, which may run more than once.
     Idempotent,
-    /// Runs at most once for each attempt of the caller.
+    /// Requests that run at most once per attempt of the caller.
     AtMostOnce,
     /// A stream of events.
     Stream {
-        /// Whether it may go on at another upstream after the last event seen.
+        /// Whether another upstream may resume it after the last event received.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again after it may have run.
+    /// Returns whether a request may be sent again after it may have run.
     pub fn is_repeatable(self) -> bool {
         matches!(
             self,
@@ -29,18 +29,18 @@
         )
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream { .. })
     }
 }
 
-/// A service's part of a route's traffic.
+/// Weighted share of a route's traffic that goes to one service.
 #[derive(Debug, Clone)]
 pub struct Share {
     /// Service.
     pub service: ServiceName,
-    /// Weight, against the sum of all.
+    /// Weight relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
@@ -49,30 +49,30 @@
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
-    /// Host it is chosen by.
+    /// Host to match.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix to match; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind, which decides on retries.
     pub kind: RouteKind,
-    /// Longest time a request is held.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of a stream, is of full use.
+    /// Latency objective of a response, or of the first event of a stream.
     pub objective: Duration,
-    /// Most upstreams that one attempt of the caller may be sent to.
+    /// Maximum number of upstreams that one attempt of the caller is sent to.
     pub max_attempts: u32,
-    /// Rank, 0 being the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub public: bool,
-    /// Places where its requests may run; empty for anywhere.
+    /// Places where requests may run; empty for anywhere.
     pub allowed_places: Vec<Place>,
-    /// Services; never empty.
+    /// Traffic split between services; never empty.
     pub shares: Vec<Share>,
 }
 
 impl Route {
-    /// The service for a draw in 0..1.
+    /// Returns the service for a random number in 0..1.
     pub fn service(&self, draw: f64) -> &ServiceName {
         let sum: u32 = self.shares.iter().map(|s| s.weight).sum();
         let mut left = draw * f64::from(sum);
--- a/crates/catalog/tests/origin.rs
+++ b/crates/catalog/tests/origin.rs
@@ -1,4 +1,4 @@
-//! How long the origin's link takes.
+//! Transfer times of the origin's link.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn a_link_carries_bytes_at_its_rate() {
+fn transfer_time_follows_the_link_rate() {
     let time = origin(8.0).transfer_time(25_000);
 
     assert_eq!(time, Duration::from_millis(25));
 }
 
 #[test]
-fn a_link_whose_rate_is_not_known_delays_nothing() {
+fn transfer_time_is_zero_for_an_unknown_link_rate() {
     assert_eq!(origin(0.0).transfer_time(25_000), Duration::ZERO);
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,11 +1,11 @@
-//! Time that goes on while a VM is suspended.
+//! Clock that keeps running while the VM is suspended.
 //!
-//! [`Instant::now`] doesn't count the time for which a VM is suspended (`CLOCK_MONOTONIC`): after it, what was
-//! learned before looks as young as it was. A process would deny by an old configuration, send to an upstream
-//! that is gone, and begin requests on a version that may not begin any more, all in the first moment after it
-//! wakes. So each age, deadline, window and bound is measured by [`now`] (`CLOCK_BOOTTIME`), and the lint of
-//! the crates that decide by age allows nothing else. Timers still rest while a VM is suspended; whoever wakes
-//! by one looks at the time anew.
+//! [`Instant::now`] (`CLOCK_MONOTONIC`) doesn't count the time during which a VM is suspended, so state from
+//! before a suspension doesn't appear older after it. Right after resuming, a process would deny requests by an
+//! outdated configuration, send to an upstream that is gone, and start requests on a version past its bound.
+//! Every age, deadline, window and bound is therefore measured by [`now`] (`CLOCK_BOOTTIME`); a lint enforces
+//! this in the crates that decide by age. Timers still pause while a VM is suspended, so code that is woken by a
+//! timer reads the clock again.
 
 use std::future::Future;
 use std::sync::OnceLock;
@@ -15,45 +15,45 @@
 use rustix::time::{ClockId, Timespec, clock_gettime};
 use tokio::time::error::Elapsed;
 
-/// Milliseconds by which tests have had the clock jump.
+/// Milliseconds by which tests have advanced the clock.
 static JUMPED_MS: AtomicU64 = AtomicU64::new(0);
 
-/// The moment, counting the time for which the VM was suspended. Moments of this clock go with each other
-/// alone, and not with those of [`Instant::now`].
+/// Returns the current time, including time during which the VM was suspended. Instants of this clock can't be
+/// compared with those of [`Instant::now`].
 pub fn now() -> Instant {
-    static FIRST: OnceLock<(Instant, Duration)> = OnceLock::new();
-    let (first, first_since_boot) = *FIRST.get_or_init(|| (Instant::now(), since_boot()));
+    static START: OnceLock<(Instant, Duration)> = OnceLock::new();
+    let (start, start_since_boot) = *START.get_or_init(|| (Instant::now(), since_boot()));
     let jumped = Duration::from_millis(JUMPED_MS.load(Ordering::Relaxed));
-    first + since_boot().saturating_sub(first_since_boot) + jumped
+    start + since_boot().saturating_sub(start_since_boot) + jumped
 }
 
 fn since_boot() -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(ClockId::Boottime);
-    // Neither is negative by the clock's contract.
+    // The clock guarantees that neither is negative.
     Duration::new(tv_sec.unsigned_abs(), u32::try_from(tv_nsec).unwrap_or(0))
 }
 
-/// Time since a moment of this clock; zero for one that is still to come.
+/// Returns the time since an instant of this clock; zero for a future one.
 pub fn since(at: Instant) -> Duration {
     now().saturating_duration_since(at)
 }
 
-/// Time until a moment of this clock; zero for one that has passed.
+/// Returns the time until an instant of this clock; zero for a past one.
 pub fn until(at: Instant) -> Duration {
     at.saturating_duration_since(now())
 }
 
-/// Sleeps until a moment of this clock, and for so much longer as the VM is suspended meanwhile.
+/// Sleeps until an instant of this clock, plus any time during which the VM is suspended meanwhile.
 pub async fn sleep_until(at: Instant) {
     tokio::time::sleep(until(at)).await;
 }
 
-/// Awaits something until a moment of this clock, and for so much longer as the VM is suspended meanwhile.
+/// Awaits a future until an instant of this clock, plus any time during which the VM is suspended meanwhile.
 pub async fn timeout_at<F: Future>(at: Instant, future: F) -> Result<F::Output, Elapsed> {
     tokio::time::timeout(until(at), future).await
 }
 
-/// Has the clock jump, as after the VM was suspended for so long. For tests.
+/// Advances the clock as if the VM had been suspended for that time. For tests.
 pub fn jump(suspended: Duration) {
     let ms = u64::try_from(suspended.as_millis()).unwrap_or(u64::MAX);
     JUMPED_MS.fetch_add(ms, Ordering::Relaxed);
--- a/crates/clock/tests/pace.rs
+++ b/crates/clock/tests/pace.rs
@@ -1,19 +1,19 @@
-//! The pace of the clock, in a process whose clock doesn't jump.
+//! Pace of the clock without suspensions, in a process of its own.
 
 use std::time::{Duration, Instant};
 
 #[test]
-fn it_goes_at_the_pace_of_the_steady_clock_and_never_back() {
-    let (steady, first) = (Instant::now(), clock::now());
+fn keeps_pace_with_the_monotonic_clock_and_never_goes_back() {
+    let (monotonic, first) = (Instant::now(), clock::now());
     let mut last = first;
-    while steady.elapsed() < Duration::from_millis(20) {
+    while monotonic.elapsed() < Duration::from_millis(20) {
         let now = clock::now();
         assert!(now >= last);
         last = now;
     }
 
-    let longest = steady.elapsed() + Duration::from_millis(1);
-    let passed = last - first;
+    let limit = monotonic.elapsed() + Duration::from_millis(1);
+    let elapsed = last - first;
 
-    assert!(passed <= longest, "{passed:?} of {longest:?}");
+    assert!(elapsed <= limit, "{elapsed:?} of {limit:?}");
 }
--- a/crates/clock/tests/suspension.rs
+++ b/crates/clock/tests/suspension.rs
@@ -1,14 +1,14 @@
-//! A suspended VM. The clock of the whole process jumps, so there is one test.
+//! Clock after a suspension. The only test of its process, since it advances the clock of the whole process.
 
 use std::time::Duration;
 
 #[test]
-fn what_was_learned_before_a_suspension_is_as_old_as_it_took() {
-    let learned = clock::now();
-    let due = learned + Duration::from_secs(30);
+fn ages_and_deadlines_count_the_time_of_a_suspension() {
+    let start = clock::now();
+    let deadline = start + Duration::from_secs(30);
 
     clock::jump(Duration::from_secs(60));
 
-    assert!(clock::since(learned) >= Duration::from_secs(60));
-    assert_eq!(clock::until(due), Duration::ZERO);
+    assert!(clock::since(start) >= Duration::from_secs(60));
+    assert_eq!(clock::until(deadline), Duration::ZERO);
 }
