--- a/crates/mirror/src/fetch.rs
+++ b/crates/mirror/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Asks another process for its copy of a document.
+//! Fetches replicas from other processes.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,128 +8,138 @@
 use log::warn;
 use web::{Client, empty, read_steadily};
 
-use crate::pack::unpack;
-use crate::serve::{Passed, PassedBody};
+use crate::delta::decompress;
+use crate::serve::{CompressedBody, ReplicaResponse};
 use crate::{DocName, Mirror, PART, PATH};
 
-/// Largest copy taken, in bytes.
-const MAX_COPY: usize = 8 << 20;
+/// Largest replica accepted, in bytes.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Why no copy came.
+/// Why no replica was fetched.
 #[derive(Debug)]
 pub struct FetchError(String);
 
 impl fmt::Display for FetchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "no copy came: {}; another process is asked next", self.0)
+        write!(
+            f,
+            "no replica fetched: {}; another process is tried next",
+            self.0
+        )
     }
 }
 
 impl std::error::Error for FetchError {}
 
-/// Asks a process for its copy and takes it; `true` where it was newer than the one held. An answer that
-/// keeps coming is read on, however long it is; one that pauses for `within` is given up.
+/// Fetches a process's replica and stores it; returns whether it is newer than the one held. A response may take
+/// any time as long as it makes progress; one that pauses for `timeout` is abandoned.
 pub async fn fetch(
     mirror: &Mirror,
     name: DocName,
     client: &Client,
     from: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<bool, FetchError> {
-    take(mirror, name, client, from, within, String::new()).await
+    fetch_replica(mirror, name, client, from, timeout, String::new()).await
 }
 
-/// The same for a copy that the store confirmed at most `oldest` ago: the process asked has it confirmed
-/// where its own is older, and answers with what it has where that fails.
+/// Fetches a replica that the store confirmed at most `max_age` ago. A process whose replica is older has it
+/// confirmed first; if that fails, it responds with the replica it has.
 pub async fn fetch_confirmed(
     mirror: &Mirror,
     name: DocName,
     client: &Client,
     from: SocketAddr,
-    within: Duration,
-    oldest: Duration,
+    timeout: Duration,
+    max_age: Duration,
 ) -> Result<bool, FetchError> {
-    let bound = format!("&{}", oldest.as_millis());
-    take(mirror, name, client, from, within, bound).await
+    let bound = format!("&{}", max_age.as_millis());
+    fetch_replica(mirror, name, client, from, timeout, bound).await
 }
 
-/// Asks for what changed since the revision held, and for the whole where that doesn't fit the body held.
-async fn take(
+/// Fetches the changes since the held revision, and the full body if they don't apply to the held one.
+async fn fetch_replica(
     mirror: &Mirror,
     name: DocName,
     client: &Client,
     from: SocketAddr,
-    within: Duration,
+    timeout: Duration,
     bound: String,
 ) -> Result<bool, FetchError> {
     let held = mirror.revision(name);
-    let changed = passed(name, client, from, within, format!("{held}{bound}")).await?;
-    match taken(mirror, name, changed) {
+    let changes = request(name, client, from, timeout, format!("{held}{bound}")).await?;
+    match apply(mirror, name, changes) {
         Err(e) if held != 0 => {
             warn!(target: PART, "{PART}: event=asked_whole document={name} from={from} held={held} why=\"{e}\"");
-            let whole = passed(name, client, from, within, format!("0{bound}")).await?;
-            taken(mirror, name, whole)
+            let full = request(name, client, from, timeout, format!("0{bound}")).await?;
+            apply(mirror, name, full)
         }
-        taken => taken,
+        applied => applied,
     }
 }
 
-/// What a process passes on, and when the store had confirmed it at the latest: as long before the question
-/// left as the answer says, since the answer may have been on its way all the while.
-async fn passed(
+/// Requests a replica. Returns it with a lower bound of the time of its confirmation by the store: its age is
+/// counted back from when the request was sent, since the response may have been in transit ever since.
+async fn request(
     name: DocName,
     client: &Client,
     from: SocketAddr,
-    within: Duration,
+    timeout: Duration,
     query: String,
-) -> Result<(Passed, Instant), FetchError> {
+) -> Result<(ReplicaResponse, Instant), FetchError> {
     let sent = clock::now();
     let req = hyper::Request::get(format!("{PATH}{name}?{query}"))
         .body(empty())
         .map_err(|e| FetchError(e.to_string()))?;
     let res = client
-        .send(from, req, within)
+        .send(from, req, timeout)
         .await
         .map_err(|e| FetchError(e.to_string()))?;
     if !res.status().is_success() {
         return Err(FetchError(format!("{from} answered {}", res.status())));
     }
-    let buf = read_steadily(res.into_body(), MAX_COPY, within)
+    let buf = read_steadily(res.into_body(), MAX_BODY_BYTES, timeout)
         .await
         .map_err(|e| FetchError(e.to_string()))?;
-    let passed: Passed = postcard::from_bytes(&buf).map_err(|e| FetchError(e.to_string()))?;
+    let replica: ReplicaResponse =
+        postcard::from_bytes(&buf).map_err(|e| FetchError(e.to_string()))?;
     let confirmed = sent
-        .checked_sub(passed.age)
-        .ok_or_else(|| FetchError(format!("its age can't be: {:?}", passed.age)))?;
-    Ok((passed, confirmed))
+        .checked_sub(replica.age)
+        .ok_or_else(|| FetchError(format!("impossible age of a replica: {:?}", replica.age)))?;
+    Ok((replica, confirmed))
 }
 
-/// Takes what was passed on; `true` where it is newer than the copy held.
-fn taken(
+/// Applies a fetched replica; returns whether it is newer than the one held.
+fn apply(
     mirror: &Mirror,
     name: DocName,
-    (passed, confirmed): (Passed, Instant),
+    (replica, confirmed): (ReplicaResponse, Instant),
 ) -> Result<bool, FetchError> {
-    match passed.body {
+    match replica.body {
         Some(body) => {
-            let body = unpacked(mirror, name, &body)?;
-            Ok(mirror.update(name, passed.revision, body, confirmed))
+            let body = decompressed(mirror, name, &body)?;
+            Ok(mirror.update(name, replica.revision, body, confirmed))
         }
-        // The same revision: its age is news.
+        // The same revision: only its age may be newer.
         None => {
-            mirror.confirm(name, passed.revision, confirmed);
+            mirror.confirm(name, replica.revision, confirmed);
             Ok(false)
         }
     }
 }
 
-fn unpacked(mirror: &Mirror, name: DocName, body: &PassedBody) -> Result<Bytes, FetchError> {
-    let against = match body.against {
+fn decompressed(
+    mirror: &Mirror,
+    name: DocName,
+    body: &CompressedBody,
+) -> Result<Bytes, FetchError> {
+    let reference = match body.reference {
         0 => Bytes::new(),
         revision => mirror
             .body_of(name, revision)
             .map_err(|e| FetchError(e.to_string()))?
-            .ok_or_else(|| FetchError(format!("it was packed against revision {revision}")))?,
+            .ok_or_else(|| FetchError(format!("reference revision {revision} is not held")))?,
     };
-    unpack(&body.bytes, &against, body.length.min(MAX_COPY)).map_err(|e| FetchError(e.to_string()))
+    decompress(&body.bytes, &reference, body.length.min(MAX_BODY_BYTES))
+        .map_err(|e| FetchError(e.to_string()))
 }
--- a/crates/mirror/src/lib.rs
+++ b/crates/mirror/src/lib.rs
@@ -1,16 +1,16 @@
-//! Documents that every process holds a copy of, and passes on to those that can't reach the store.
+//! Replicates documents between processes.
 //!
-//! A document has a name, a revision, a body, and an age: how long ago the store confirmed, to
-//! whichever process asked it, that nothing newer was in force. A copy is only ever replaced by a
-//! newer revision; the same revision confirmed later only makes it younger. Processes that are cut
-//! off from the store [`fetch`] others for their copies; of a document that both hold in an earlier revision
-//! only what changed since travels.
+//! Every process holds a replica of each document and serves it to processes that can't reach the store. A
+//! document has a name, a revision, a body, and an age: the time since the store confirmed, to any process that
+//! asked it, that nothing newer was in force. Only a newer revision replaces a replica; a later confirmation of
+//! the same revision only lowers its age. Processes that are cut off from the store [`fetch`] replicas from
+//! others; if both hold the same earlier revision, only the changes since then are sent.
 
 #![deny(clippy::disallowed_methods)]
 
-mod earlier;
+mod delta;
 mod fetch;
-mod pack;
+mod history;
 mod replica;
 mod serve;
 
--- a/crates/mirror/src/replica.rs
+++ b/crates/mirror/src/replica.rs
@@ -1,4 +1,4 @@
-//! Copies of documents.
+//! Replicas of documents held by a process.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,55 +10,55 @@
 use tokio::sync::{self, watch};
 use tokio::task::spawn_blocking;
 
-use crate::earlier::Earlier;
-use crate::pack::{PackError, pack};
+use crate::delta::{DeltaError, compress};
+use crate::history::History;
 use crate::{DocName, PART};
 
-/// A copy of a document.
+/// A replica of a document.
 #[derive(Debug, Clone)]
 pub struct Replica {
     /// Revision.
     pub revision: Revision,
     /// Body.
     pub body: Bytes,
-    /// When the store last confirmed it.
+    /// Last confirmation by the store.
     pub confirmed: Instant,
-    /// Time from the last confirmation of the copy before this one to the first of this one; zero
-    /// where there was none before.
+    /// Time from the last confirmation of the previous replica to the first confirmation of this one; zero if
+    /// there was none before.
     pub gap: Duration,
 }
 
-/// The copy of a document, and what is kept to pass it on.
+/// A replica and what is retained to serve it to other processes.
 #[derive(Debug)]
-struct Held {
-    copy: Replica,
-    earlier: Earlier,
-    /// The body packed against the revision that an asker holds; 0 for none.
-    packed: Map<Revision, Bytes>,
+struct Document {
+    replica: Replica,
+    history: History,
+    /// The body compressed against the revision that a requester holds; 0 for none.
+    compressed: Map<Revision, Bytes>,
 }
 
-/// A copy packed against an earlier revision.
+/// A replica compressed against an earlier revision.
 #[derive(Debug)]
-pub(crate) struct Packed {
-    pub(crate) copy: Replica,
-    /// Revision that it is packed against; 0 for none.
-    pub(crate) against: Revision,
+pub(crate) struct CompressedReplica {
+    pub(crate) replica: Replica,
+    /// Revision that the body is compressed against; 0 for none.
+    pub(crate) reference: Revision,
     pub(crate) body: Bytes,
 }
 
-/// All copies of a process.
+/// All replicas of a process.
 #[derive(Debug, Clone, Default)]
 pub struct Mirror {
-    documents: Arc<Mutex<Map<DocName, Held>>>,
+    documents: Arc<Mutex<Map<DocName, Document>>>,
     changed: Arc<watch::Sender<()>>,
     confirmed: Arc<watch::Sender<()>>,
-    /// Held while a body is packed: one at a time, since each takes memory by the size of the body.
-    packing: Arc<sync::Mutex<()>>,
+    /// Limits compression to one body at a time, since each takes memory in proportion to its size.
+    compression: Arc<sync::Mutex<()>>,
 }
 
 impl Mirror {
-    /// Takes a copy that the store had confirmed at a moment; `true` where it is newer than the one held. A
-    /// moment, since an age grows while a process stands still on its way here.
+    /// Stores a replica that the store confirmed at a given instant; returns whether it is newer than the one held.
+    /// An instant rather than an age, which would be too low if the process stalled before this call.
     pub fn update(
         &self,
         name: DocName,
@@ -68,211 +68,220 @@
     ) -> bool {
         let mut documents = self.lock();
         let gap = match documents.get_mut(name) {
-            Some(held) if held.copy.revision > revision => return false,
-            Some(held) if held.copy.revision == revision => {
-                held.copy.confirmed = held.copy.confirmed.max(confirmed);
+            Some(held) if held.replica.revision > revision => return false,
+            Some(held) if held.replica.revision == revision => {
+                held.replica.confirmed = held.replica.confirmed.max(confirmed);
                 self.confirmed.send_replace(());
                 return false;
             }
-            Some(held) => confirmed.saturating_duration_since(held.copy.confirmed),
+            Some(held) => confirmed.saturating_duration_since(held.replica.confirmed),
             None => Duration::ZERO,
         };
-        let copy = Replica {
+        let replica = Replica {
             revision,
             body,
             confirmed,
             gap,
         };
-        let before = documents.remove(name);
-        let follows = before.is_some();
-        documents.insert(name, Held::after(before, copy));
+        let previous = documents.remove(name);
+        let has_history = previous.is_some();
+        documents.insert(name, Document::replacing(previous, replica));
         drop(documents);
         self.changed.send_replace(());
-        if follows {
-            self.pack_earlier_beside(name);
+        if has_history {
+            self.spawn_history_compression(name);
         }
         true
     }
 
-    /// Notes that the store had confirmed a revision at a moment, where that is the one held.
+    /// Records that the store confirmed a revision, if that is the one held.
     pub fn confirm(&self, name: DocName, revision: Revision, confirmed: Instant) {
         let mut documents = self.lock();
         let same = documents
             .get_mut(name)
-            .filter(|held| held.copy.revision == revision);
+            .filter(|held| held.replica.revision == revision);
         if let Some(held) = same {
-            held.copy.confirmed = held.copy.confirmed.max(confirmed);
+            held.replica.confirmed = held.replica.confirmed.max(confirmed);
             self.confirmed.send_replace(());
         }
     }
 
-    /// The copy held.
+    /// Returns the replica held.
     pub fn get(&self, name: DocName) -> Option<Replica> {
-        self.lock().get(name).map(|held| held.copy.clone())
+        self.lock().get(name).map(|held| held.replica.clone())
     }
 
-    /// Revision of the copy held; 0 where there is none.
+    /// Returns the revision held; 0 if there is none.
     pub fn revision(&self, name: DocName) -> Revision {
-        self.lock().get(name).map_or(0, |held| held.copy.revision)
+        self.lock()
+            .get(name)
+            .map_or(0, |held| held.replica.revision)
     }
 
-    /// Time since the store last confirmed the copy; `None` where there is none.
+    /// Returns the time since the store last confirmed the replica; `None` if there is none.
     pub fn age(&self, name: DocName) -> Option<Duration> {
         let documents = self.lock();
         documents
             .get(name)
-            .map(|held| clock::since(held.copy.confirmed))
+            .map(|held| clock::since(held.replica.confirmed))
     }
 
-    /// Told of every new revision of any document.
+    /// Returns a receiver that is notified of every new revision of any document.
     pub fn changes(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// Told of every confirmation of the revision of any document that is held.
+    /// Returns a receiver that is notified of every confirmation of a held revision of any document.
     pub fn confirmations(&self) -> watch::Receiver<()> {
         self.confirmed.subscribe()
     }
 
-    /// The copy for a process that holds a revision, packed once for all that hold the same; `None` where
-    /// there is no copy.
-    pub(crate) async fn packed(
+    /// Returns the replica compressed for a process that holds a revision, cached for all that hold the same;
+    /// `None` if there is no replica.
+    pub(crate) async fn compressed(
         &self,
         name: DocName,
         known: Revision,
-    ) -> Result<Option<Packed>, PackError> {
-        if let Some(packed) = self.packed_before(name, known) {
-            return Ok(Some(packed));
+    ) -> Result<Option<CompressedReplica>, DeltaError> {
+        if let Some(cached) = self.cached(name, known) {
+            return Ok(Some(cached));
         }
-        self.in_turn(move |mirror| mirror.pack(name, known)).await
+        self.run_compression(move |mirror| mirror.compress(name, known))
+            .await
     }
 
-    /// The body of a revision that is held or was held before it.
+    /// Returns the body of the current revision or of an earlier one that is retained.
     pub(crate) fn body_of(
         &self,
         name: DocName,
         revision: Revision,
-    ) -> Result<Option<Bytes>, PackError> {
-        let Some((copy, earlier)) = self.all_of(name) else {
+    ) -> Result<Option<Bytes>, DeltaError> {
+        let Some((replica, history)) = self.snapshot(name) else {
             return Ok(None);
         };
-        match copy.revision == revision {
-            true => Ok(Some(copy.body)),
-            false => earlier.body_of(revision, &copy.body),
+        match replica.revision == revision {
+            true => Ok(Some(replica.body)),
+            false => history.body_of(revision, &replica.body),
         }
     }
 
-    /// Does one step of packing beside the thread that serves requests, which runs all tasks of a process.
-    async fn in_turn<T: Send + 'static>(
+    /// Runs one compression at a time on a blocking thread, so that it doesn't hold up the thread that runs all
+    /// tasks of the process and serves requests.
+    async fn run_compression<T: Send + 'static>(
         &self,
-        step: impl FnOnce(&Mirror) -> Result<T, PackError> + Send + 'static,
-    ) -> Result<T, PackError> {
-        let turn = self.packing.clone().lock_owned().await;
+        job: impl FnOnce(&Mirror) -> Result<T, DeltaError> + Send + 'static,
+    ) -> Result<T, DeltaError> {
+        let permit = self.compression.clone().lock_owned().await;
         let mirror = self.clone();
-        let step = spawn_blocking(move || {
-            let _turn = turn;
-            step(&mirror)
+        let job = spawn_blocking(move || {
+            let _permit = permit;
+            job(&mirror)
         });
-        step.await.map_err(PackError::Stopped)?
+        job.await.map_err(DeltaError::Aborted)?
     }
 
-    fn pack(&self, name: DocName, known: Revision) -> Result<Option<Packed>, PackError> {
-        // Whoever had the turn before may have packed the same.
-        if let Some(packed) = self.packed_before(name, known) {
-            return Ok(Some(packed));
+    fn compress(
+        &self,
+        name: DocName,
+        known: Revision,
+    ) -> Result<Option<CompressedReplica>, DeltaError> {
+        // The previous holder of the lock may have compressed the same body.
+        if let Some(cached) = self.cached(name, known) {
+            return Ok(Some(cached));
         }
-        let Some((copy, earlier)) = self.all_of(name) else {
+        let Some((replica, history)) = self.snapshot(name) else {
             return Ok(None);
         };
-        let body = earlier.body_of(known, &copy.body)?;
-        let against = body.as_ref().map_or(0, |_| known);
-        let body = pack(&copy.body, &body.unwrap_or_default())?;
+        let body = history.body_of(known, &replica.body)?;
+        let reference = body.as_ref().map_or(0, |_| known);
+        let body = compress(&replica.body, &body.unwrap_or_default())?;
         let mut documents = self.lock();
         let held = documents.get_mut(name);
-        if let Some(held) = held.filter(|held| held.copy.revision == copy.revision) {
-            held.packed.insert(against, body.clone());
+        if let Some(held) = held.filter(|held| held.replica.revision == replica.revision) {
+            held.compressed.insert(reference, body.clone());
         }
-        Ok(Some(Packed {
-            copy,
-            against,
+        Ok(Some(CompressedReplica {
+            replica,
+            reference,
             body,
         }))
     }
 
-    fn packed_before(&self, name: DocName, known: Revision) -> Option<Packed> {
+    fn cached(&self, name: DocName, known: Revision) -> Option<CompressedReplica> {
         let documents = self.lock();
-        documents.get(name).and_then(|held| held.packed(known))
+        documents.get(name).and_then(|held| held.compressed(known))
     }
 
-    /// Packs earlier bodies once it is their turn; at once where nothing can run beside.
-    fn pack_earlier_beside(&self, name: DocName) {
+    /// Compresses earlier bodies in the background, or in place if there is no runtime.
+    fn spawn_history_compression(&self, name: DocName) {
         let mirror = self.clone();
         match Handle::try_current() {
             Ok(runtime) => drop(runtime.spawn(async move {
-                let packed = mirror.in_turn(move |mirror| mirror.pack_earlier(name));
-                tell(name, packed.await);
+                let compressed =
+                    mirror.run_compression(move |mirror| mirror.compress_history(name));
+                log_failure(name, compressed.await);
             })),
-            Err(_) => tell(name, self.pack_earlier(name)),
+            Err(_) => log_failure(name, self.compress_history(name)),
         }
     }
 
-    fn pack_earlier(&self, name: DocName) -> Result<(), PackError> {
-        let Some((copy, mut earlier)) = self.all_of(name) else {
+    fn compress_history(&self, name: DocName) -> Result<(), DeltaError> {
+        let Some((replica, mut history)) = self.snapshot(name) else {
             return Ok(());
         };
-        earlier.pack(&copy.body)?;
+        history.compress(&replica.body)?;
         if let Some(held) = self.lock().get_mut(name) {
-            held.earlier.take_steps(&earlier);
+            held.history.adopt_deltas(&history);
         }
         Ok(())
     }
 
-    /// The copy held and the earlier bodies, which share their bytes with it.
-    fn all_of(&self, name: DocName) -> Option<(Replica, Earlier)> {
+    /// Returns the replica and its history, which share their bytes with those held.
+    fn snapshot(&self, name: DocName) -> Option<(Replica, History)> {
         let documents = self.lock();
         let held = documents.get(name)?;
-        Some((held.copy.clone(), held.earlier.clone()))
+        Some((held.replica.clone(), held.history.clone()))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Map<DocName, Held>> {
+    fn lock(&self) -> MutexGuard<'_, Map<DocName, Document>> {
         self.documents
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Held {
-    /// A newer copy in place of what was held before.
-    fn after(before: Option<Held>, copy: Replica) -> Held {
-        let mut earlier = Earlier::default();
-        if let Some(before) = before {
-            earlier = before.earlier;
-            earlier.push(before.copy.revision, before.copy.body);
+impl Document {
+    /// Returns a document with a newer replica; the previous one becomes part of its history.
+    fn replacing(previous: Option<Document>, replica: Replica) -> Document {
+        let mut history = History::default();
+        if let Some(previous) = previous {
+            history = previous.history;
+            history.push(previous.replica.revision, previous.replica.body);
         }
-        Held {
-            copy,
-            earlier,
-            packed: Map::default(),
+        Document {
+            replica,
+            history,
+            compressed: Map::default(),
         }
     }
 
-    /// What was packed for a process that holds a revision.
-    fn packed(&self, known: Revision) -> Option<Packed> {
-        let against = match self.earlier.has(known) {
+    /// Returns the cached body for a process that holds a revision.
+    fn compressed(&self, known: Revision) -> Option<CompressedReplica> {
+        let reference = match self.history.has(known) {
             true => known,
             false => 0,
         };
-        let body = self.packed.get(&against)?;
-        Some(Packed {
-            copy: self.copy.clone(),
-            against,
+        let body = self.compressed.get(&reference)?;
+        Some(CompressedReplica {
+            replica: self.replica.clone(),
+            reference,
             body: body.clone(),
         })
     }
 }
 
-fn tell(name: DocName, packed: Result<(), PackError>) {
-    if let Err(e) = packed {
+fn log_failure(name: DocName, result: Result<(), DeltaError>) {
+    if let Err(e) = result {
         warn!(target: PART, "{PART}: event=not_packed document={name} why=\"{e}\"");
     }
 }
--- a/crates/mirror/src/serve.rs
+++ b/crates/mirror/src/serve.rs
@@ -1,4 +1,4 @@
-//! Passes copies on to processes that ask.
+//! Serves replicas to other processes.
 
 use std::time::Duration;
 
@@ -7,39 +7,38 @@
 use serde::{Deserialize, Serialize};
 use web::{Request, Response, full, text};
 
-use crate::pack::PackError;
+use crate::delta::DeltaError;
 use crate::{DocName, Mirror, Replica};
 
-/// Path of a document is this and its name.
+/// Path prefix of documents; the name of a document follows.
 pub const PATH: &str = "/mirror/";
 
-/// A copy as it travels.
+/// A replica as sent to another process.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Passed {
+pub(crate) struct ReplicaResponse {
     pub(crate) revision: Revision,
     pub(crate) age: Duration,
-    /// Packed; `None` where the asker holds the revision already.
-    pub(crate) body: Option<PassedBody>,
+    /// Compressed body; `None` if the requester holds the revision already.
+    pub(crate) body: Option<CompressedBody>,
 }
 
-/// A packed body.
+/// A compressed body.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct PassedBody {
-    /// Revision of the asker's that it is packed against; 0 for none.
-    pub(crate) against: Revision,
+pub(crate) struct CompressedBody {
+    /// Revision held by the requester that the body is compressed against; 0 for none.
+    pub(crate) reference: Revision,
     /// Length of the body, in bytes.
     pub(crate) length: usize,
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Largest age that an asker wants the store to have confirmed a copy at, in `GET
-/// /mirror/NAME?REVISION&MILLISECONDS`; `None` where it takes any.
+/// Returns the maximum age that `GET /mirror/NAME?REVISION&MILLISECONDS` asks for; `None` if any age will do.
 pub fn requested_max_age(req: &Request) -> Option<Duration> {
-    let (_, oldest) = req.uri().query()?.split_once('&')?;
-    oldest.parse().ok().map(Duration::from_millis)
+    let (_, max_age) = req.uri().query()?.split_once('&')?;
+    max_age.parse().ok().map(Duration::from_millis)
 }
 
-/// Answers `GET /mirror/NAME?REVISION`; leaves the body out where the asker has that revision.
+/// Answers `GET /mirror/NAME?REVISION`; omits the body if the requester holds the current revision.
 pub async fn serve(mirror: &Mirror, names: &[DocName], req: &Request) -> Response {
     let name = req.uri().path().strip_prefix(PATH);
     let Some(name) = names.iter().find(|n| Some(**n) == name) else {
@@ -47,42 +46,42 @@
     };
     let query = req.uri().query().unwrap_or_default();
     let revision = query.split('&').next().and_then(|q| q.parse().ok());
-    let held = revision.unwrap_or(0);
-    let passed = match pass(mirror, name, held).await {
-        Ok(Some(passed)) => passed,
+    let known = revision.unwrap_or(0);
+    let replica = match replica(mirror, name, known).await {
+        Ok(Some(replica)) => replica,
         Ok(None) => return text(503, "no copy yet; ask again\n"),
         Err(e) => return text(500, format!("{e}\n")),
     };
-    match postcard::to_stdvec(&passed) {
+    match postcard::to_stdvec(&replica) {
         Ok(buf) => Response::new(full(Bytes::from(buf))),
         Err(e) => text(500, format!("the copy can't be encoded: {e}\n")),
     }
 }
 
-async fn pass(
+async fn replica(
     mirror: &Mirror,
     name: DocName,
     known: Revision,
-) -> Result<Option<Passed>, PackError> {
-    let copy = match mirror.get(name) {
-        Some(copy) if copy.revision > known => mirror.packed(name, known).await?,
-        Some(copy) => return Ok(Some(passed(&copy, None))),
+) -> Result<Option<ReplicaResponse>, DeltaError> {
+    let compressed = match mirror.get(name) {
+        Some(replica) if replica.revision > known => mirror.compressed(name, known).await?,
+        Some(replica) => return Ok(Some(response(&replica, None))),
         None => return Ok(None),
     };
-    Ok(copy.map(|packed| {
-        let body = PassedBody {
-            against: packed.against,
-            length: packed.copy.body.len(),
-            bytes: packed.body.to_vec(),
+    Ok(compressed.map(|compressed| {
+        let body = CompressedBody {
+            reference: compressed.reference,
+            length: compressed.replica.body.len(),
+            bytes: compressed.body.to_vec(),
         };
-        passed(&packed.copy, Some(body))
+        response(&compressed.replica, Some(body))
     }))
 }
 
-fn passed(copy: &Replica, body: Option<PassedBody>) -> Passed {
-    Passed {
-        revision: copy.revision,
-        age: clock::since(copy.confirmed),
+fn response(replica: &Replica, body: Option<CompressedBody>) -> ReplicaResponse {
+    ReplicaResponse {
+        revision: replica.revision,
+        age: clock::since(replica.confirmed),
         body,
     }
 }
--- a/crates/mirror/tests/fetch.rs
+++ b/crates/mirror/tests/fetch.rs
@@ -1,4 +1,4 @@
-//! How much of a document travels to a process that asks for it.
+//! Replication between processes, and how many bytes it takes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 
 const NAME: &str = "configuration";
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process that passes its copies on, how often it was asked, and how many bytes it has answered.
+/// A process that serves its replicas, with counts of its requests and response bytes.
 struct Peer {
     mirror: Mirror,
     addr: SocketAddr,
-    asked: Arc<AtomicUsize>,
+    requests: Arc<AtomicUsize>,
     sent: Arc<AtomicUsize>,
     _stop: watch::Sender<bool>,
 }
@@ -29,13 +29,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
     let (_stop, rx) = watch::channel(false);
-    let (mirror, asked, sent) = <(Mirror, Arc<AtomicUsize>, Arc<AtomicUsize>)>::default();
-    let (passing, arrived, counted) = (mirror.clone(), asked.clone(), sent.clone());
+    let (mirror, requests, sent) = <(Mirror, Arc<AtomicUsize>, Arc<AtomicUsize>)>::default();
+    let (served, requested, counted) = (mirror.clone(), requests.clone(), sent.clone());
     tokio::spawn(web::serve(listener, Bounds::internal(), rx, move |req| {
-        arrived.fetch_add(1, Relaxed);
-        let (passing, counted) = (passing.clone(), counted.clone());
+        requested.fetch_add(1, Relaxed);
+        let (served, counted) = (served.clone(), counted.clone());
         async move {
-            let res = mirror::serve(&passing, &[NAME], &req).await;
+            let res = mirror::serve(&served, &[NAME], &req).await;
             let length = hyper::body::Body::size_hint(res.body()).exact();
             counted.fetch_add(length.expect("a length") as usize, Relaxed);
             res
@@ -44,13 +44,13 @@
     Peer {
         mirror,
         addr,
-        asked,
+        requests,
         sent,
         _stop,
     }
 }
 
-/// A document of lines that have little in common, one of which says what it is told.
+/// Returns a document of dissimilar lines, one of which is `word`.
 fn document(word: &str) -> Bytes {
     let line = |i: u64| match i {
         700 => format!("{word}\n"),
@@ -59,25 +59,25 @@
     (0..20_000).map(line).collect::<String>().into()
 }
 
-/// Asks for the copy of a process at an address.
-async fn ask_at(own: Mirror, addr: SocketAddr) -> bool {
-    let client = Client::new(Dial::within(PATIENCE));
-    let asked = mirror::fetch(&own, NAME, &client, addr, PATIENCE).await;
-    asked.expect("a copy")
+/// Fetches the replica of the process at an address; returns whether it was newer.
+async fn fetch_from(local: Mirror, addr: SocketAddr) -> bool {
+    let client = Client::new(Dial::within(TIMEOUT));
+    let fetched = mirror::fetch(&local, NAME, &client, addr, TIMEOUT).await;
+    fetched.expect("a replica")
 }
 
-/// The same; returns how many bytes it answered.
-async fn ask(own: &Mirror, peer: &Peer) -> usize {
+/// Fetches the replica of a peer; returns the bytes of its responses.
+async fn fetch(local: &Mirror, peer: &Peer) -> usize {
     let before = peer.sent.load(Relaxed);
-    ask_at(own.clone(), peer.addr).await;
+    fetch_from(local.clone(), peer.addr).await;
     peer.sent.load(Relaxed) - before
 }
 
-fn numbered(revision: u64) -> Bytes {
+fn body_of(revision: u64) -> Bytes {
     document(&format!("number {revision}"))
 }
 
-/// One thread for all tasks, as gateways have it, and one more for what would hold them up.
+/// Returns a runtime with one thread for all tasks, as in gateways, and one blocking thread.
 fn one_thread() -> Runtime {
     let mut builder = Builder::new_current_thread();
     builder.enable_all().max_blocking_threads(1);
@@ -85,143 +85,148 @@
 }
 
 #[tokio::test]
-async fn only_what_changed_travels_to_a_process_that_holds_an_earlier_revision() {
-    let (peer, own) = (peer().await, Mirror::default());
+async fn sends_only_changes_since_an_earlier_revision() {
+    let (peer, local) = (peer().await, Mirror::default());
     peer.mirror.update(NAME, 1, document("one"), Instant::now());
-    let whole = ask(&own, &peer).await;
+    let full = fetch(&local, &peer).await;
 
     peer.mirror.update(NAME, 2, document("two"), Instant::now());
     peer.mirror
         .update(NAME, 3, document("three"), Instant::now());
-    let changed = ask(&own, &peer).await;
-    let nothing = ask(&own, &peer).await;
+    let changed = fetch(&local, &peer).await;
+    let unchanged = fetch(&local, &peer).await;
 
-    assert_eq!(own.get(NAME).expect("a copy").body, document("three"));
-    assert!(whole < document("one").len(), "{whole}");
-    assert!(changed < whole / 100, "{changed} of {whole}");
-    assert!(nothing < 50, "{nothing}");
+    assert_eq!(local.get(NAME).expect("a replica").body, document("three"));
+    assert!(full < document("one").len(), "{full}");
+    assert!(changed < full / 100, "{changed} of {full}");
+    assert!(unchanged < 50, "{unchanged}");
 }
 
 #[tokio::test]
-async fn a_process_whose_revision_is_not_known_any_more_gets_the_whole() {
-    let (peer, own) = (peer().await, Mirror::default());
-    own.update(NAME, 1, document("one"), Instant::now());
+async fn sends_full_body_for_an_unknown_revision() {
+    let (peer, local) = (peer().await, Mirror::default());
+    local.update(NAME, 1, document("one"), Instant::now());
     for revision in 2..10 {
-        let body = numbered(revision);
+        let body = body_of(revision);
         peer.mirror.update(NAME, revision, body, Instant::now());
     }
 
-    ask(&own, &peer).await;
+    fetch(&local, &peer).await;
 
-    assert_eq!(own.get(NAME).expect("a copy").body, numbered(9));
+    assert_eq!(local.get(NAME).expect("a replica").body, body_of(9));
 }
 
 #[tokio::test]
-async fn an_older_revision_is_not_taken() {
-    let (peer, own) = (peer().await, Mirror::default());
+async fn fetched_older_revision_is_ignored() {
+    let (peer, local) = (peer().await, Mirror::default());
     peer.mirror.update(NAME, 1, document("one"), Instant::now());
-    own.update(NAME, 2, document("two"), Instant::now());
+    local.update(NAME, 2, document("two"), Instant::now());
 
-    ask(&own, &peer).await;
+    fetch(&local, &peer).await;
 
-    assert_eq!(own.get(NAME).expect("a copy").body, document("two"));
+    assert_eq!(local.get(NAME).expect("a replica").body, document("two"));
 }
 
-/// Changes in quick succession, and one more.
+/// Revisions of a burst: 26 changes in quick succession, after the first revision.
 const BURST: u64 = 27;
 
 #[tokio::test]
-async fn only_what_changed_travels_to_a_process_that_slept_through_a_burst_of_changes() {
-    let (peer, own, follower) = (peer().await, Mirror::default(), Mirror::default());
-    peer.mirror.update(NAME, 1, numbered(1), Instant::now());
-    let whole = ask(&own, &peer).await;
+async fn sends_only_changes_after_a_missed_burst() {
+    let (peer, local, follower) = (peer().await, Mirror::default(), Mirror::default());
+    peer.mirror.update(NAME, 1, body_of(1), Instant::now());
+    let full = fetch(&local, &peer).await;
     for revision in 2..=BURST {
-        let body = numbered(revision);
+        let body = body_of(revision);
         peer.mirror.update(NAME, revision, body, Instant::now());
-        ask(&follower, &peer).await;
+        fetch(&follower, &peer).await;
     }
 
-    let changed = ask(&own, &peer).await;
+    let changed = fetch(&local, &peer).await;
 
-    assert_eq!(own.get(NAME).expect("a copy").body, numbered(BURST));
-    assert!(changed < whole / 100, "{changed} of {whole}");
+    assert_eq!(local.get(NAME).expect("a replica").body, body_of(BURST));
+    assert!(changed < full / 100, "{changed} of {full}");
 }
 
 #[tokio::test]
-async fn a_process_further_behind_than_bodies_are_kept_gets_the_whole() {
-    let (peer, own) = (peer().await, Mirror::default());
-    peer.mirror.update(NAME, 1, numbered(1), Instant::now());
-    let whole = ask(&own, &peer).await;
+async fn sends_full_body_if_the_requester_is_too_far_behind() {
+    let (peer, local) = (peer().await, Mirror::default());
+    peer.mirror.update(NAME, 1, body_of(1), Instant::now());
+    let full = fetch(&local, &peer).await;
     for revision in 2..=4 * BURST {
-        let body = numbered(revision);
+        let body = body_of(revision);
         peer.mirror.update(NAME, revision, body, Instant::now());
     }
 
-    let again = ask(&own, &peer).await;
+    let again = fetch(&local, &peer).await;
 
-    assert_eq!(own.get(NAME).expect("a copy").body, numbered(4 * BURST));
-    assert!(again > whole / 2, "{again} of {whole}");
+    assert_eq!(local.get(NAME).expect("a replica").body, body_of(4 * BURST));
+    assert!(again > full / 2, "{again} of {full}");
 }
 
 #[tokio::test]
-async fn many_that_ask_at_once_from_several_revisions_get_the_same_body() {
+async fn concurrent_fetches_from_different_revisions_get_the_same_body() {
     let peer = peer().await;
-    let behind: Vec<Mirror> = (0..12).map(|_| Mirror::default()).collect();
+    let mirrors: Vec<Mirror> = (0..12).map(|_| Mirror::default()).collect();
     for revision in 1..=6 {
-        let body = numbered(revision);
+        let body = body_of(revision);
         peer.mirror.update(NAME, revision, body, Instant::now());
-        for own in behind.iter().skip(2 * revision as usize - 2) {
-            own.update(NAME, revision, numbered(revision), Instant::now());
+        for local in mirrors.iter().skip(2 * revision as usize - 2) {
+            local.update(NAME, revision, body_of(revision), Instant::now());
         }
     }
-    peer.mirror.update(NAME, 7, numbered(7), Instant::now());
-
-    let asking = behind.iter().map(|own| ask_at(own.clone(), peer.addr));
-    let asking: Vec<_> = asking.map(tokio::spawn).collect();
-    for asked in asking {
-        assert!(asked.await.expect("no panic"), "no newer copy came");
+    peer.mirror.update(NAME, 7, body_of(7), Instant::now());
+
+    let fetches = mirrors
+        .iter()
+        .map(|local| fetch_from(local.clone(), peer.addr));
+    let fetches: Vec<_> = fetches.map(tokio::spawn).collect();
+    for task in fetches {
+        assert!(task.await.expect("no panic"), "no newer replica");
     }
 
-    for own in &behind {
-        assert_eq!(own.get(NAME).expect("a copy").body, numbered(7));
+    for local in &mirrors {
+        assert_eq!(local.get(NAME).expect("a replica").body, body_of(7));
     }
 }
 
 #[test]
-fn another_request_is_answered_while_a_copy_is_packed() {
+fn serves_other_requests_during_compression() {
     one_thread().block_on(async {
-        let (peer, own, other) = (peer().await, Mirror::default(), Mirror::default());
+        let (peer, local, other) = (peer().await, Mirror::default(), Mirror::default());
         peer.mirror.update(NAME, 2, document("two"), Instant::now());
-        own.update(NAME, 1, document("one"), Instant::now());
+        local.update(NAME, 1, document("one"), Instant::now());
         other.update(NAME, 2, document("two"), Instant::now());
-        // Whatever leaves the thread of all tasks waits until it is let go on.
-        let (go_on, held) = std::sync::mpsc::channel::<()>();
-        let blocker = tokio::task::spawn_blocking(move || held.recv());
-        let asking = tokio::spawn(ask_at(own.clone(), peer.addr));
-        while peer.asked.load(Relaxed) == 0 {
+        // Occupies the only blocking thread, so that compression waits until `resume` is sent.
+        let (resume, blocked) = std::sync::mpsc::channel::<()>();
+        let blocker = tokio::task::spawn_blocking(move || blocked.recv());
+        let pending = tokio::spawn(fetch_from(local.clone(), peer.addr));
+        while peer.requests.load(Relaxed) == 0 {
             tokio::task::yield_now().await;
         }
 
-        ask_at(other, peer.addr).await;
+        fetch_from(other, peer.addr).await;
 
         let answered = peer.sent.load(Relaxed);
-        assert!(answered < 50, "{answered} bytes: the copy was packed first");
-        go_on.send(()).expect("the blocker waits");
-        blocker.await.expect("no panic").expect("let go on");
-        assert!(asking.await.expect("no panic"), "no newer copy came");
-        assert_eq!(own.get(NAME).expect("a copy").body, document("two"));
+        assert!(answered < 50, "{answered} bytes: compressed first");
+        resume.send(()).expect("the blocker waits");
+        blocker
+            .await
+            .expect("no panic")
+            .expect("resumed by the test");
+        assert!(pending.await.expect("no panic"), "no newer replica");
+        assert_eq!(local.get(NAME).expect("a replica").body, document("two"));
     });
 }
 
 #[tokio::test]
-async fn a_process_that_holds_another_body_under_the_same_revision_gets_the_whole() {
-    let (peer, own) = (peer().await, Mirror::default());
-    peer.mirror.update(NAME, 1, numbered(1), Instant::now());
-    peer.mirror.update(NAME, 2, numbered(2), Instant::now());
-    let unlike = numbered(1).iter().rev().copied().collect();
-    own.update(NAME, 1, unlike, Instant::now());
+async fn fetches_full_body_if_the_held_one_differs_under_the_same_revision() {
+    let (peer, local) = (peer().await, Mirror::default());
+    peer.mirror.update(NAME, 1, body_of(1), Instant::now());
+    peer.mirror.update(NAME, 2, body_of(2), Instant::now());
+    let different = body_of(1).iter().rev().copied().collect();
+    local.update(NAME, 1, different, Instant::now());
 
-    ask(&own, &peer).await;
+    fetch(&local, &peer).await;
 
-    assert_eq!(own.get(NAME).expect("a copy").body, numbered(2));
+    assert_eq!(local.get(NAME).expect("a replica").body, body_of(2));
 }
--- a/crates/mirror/tests/replica.rs
+++ b/crates/mirror/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Ages of copies, and how long the store had confirmed none.
+//! Ages of replicas, and gaps between their confirmations by the store.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 const NAME: &str = "upstreams";
 
-/// Longer than any step of a test takes.
+/// Longer than any step of a test.
 const SLACK: Duration = Duration::from_secs(30);
 
 fn body() -> Bytes {
@@ -17,15 +17,15 @@
 fn ago(age: Duration) -> Instant {
     let now = Instant::now();
     now.checked_sub(age)
-        .expect("a moment after the machine's start")
+        .expect("an instant after the boot of the VM")
 }
 
 fn gap(mirror: &Mirror) -> Duration {
-    mirror.get(NAME).expect("a copy").gap
+    mirror.get(NAME).expect("a replica").gap
 }
 
 #[test]
-fn a_newer_copy_tells_how_long_the_store_had_confirmed_none() {
+fn newer_replica_records_the_gap_between_confirmations() {
     let mirror = Mirror::default();
     mirror.update(NAME, 1, body(), ago(SLACK * 10));
     let first = gap(&mirror);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_confirmation_of_the_copy_held_ends_the_gap() {
+fn confirmation_of_the_held_revision_shortens_the_gap() {
     let mirror = Mirror::default();
     mirror.update(NAME, 1, body(), ago(SLACK * 10));
     mirror.confirm(NAME, 1, ago(SLACK));
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn an_older_copy_and_an_older_confirmation_change_nothing() {
+fn older_replicas_and_older_confirmations_are_ignored() {
     let mirror = Mirror::default();
     mirror.update(NAME, 2, body(), Instant::now());
 
-    let taken = mirror.update(NAME, 1, body(), Instant::now());
+    let is_newer = mirror.update(NAME, 1, body(), Instant::now());
     mirror.confirm(NAME, 2, ago(SLACK * 10));
 
-    assert!(!taken);
+    assert!(!is_newer);
     assert_eq!(mirror.revision(NAME), 2);
-    assert!(mirror.age(NAME).expect("a copy") < SLACK);
+    assert!(mirror.age(NAME).expect("a replica") < SLACK);
 }
