--- a/crates/loader/src/api.rs
+++ b/crates/loader/src/api.rs
@@ -1,4 +1,4 @@
-//! Calls to the engine beside the loader and to the origin of weights.
+//! Calls to the engine on the loader's VM and to the origin of weights.
 
 use std::fmt;
 use std::future::Future;
@@ -11,10 +11,10 @@
 use bytes::Bytes;
 use catalog::{StartTime, WeightsVersion};
 
-/// SHA-256 of a chunk.
+/// SHA-256 digest of a chunk.
 pub type ChunkDigest = [u8; 32];
 
-/// A call, and its result when it has ended.
+/// An asynchronous call with an argument and a result.
 pub type Call<A, R> =
     Arc<dyn Fn(A) -> Pin<Box<dyn Future<Output = Result<R, ApiError>> + Send>> + Send + Sync>;
 
@@ -33,23 +33,23 @@
 /// State of the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineState {
-    /// Whether an order is under way.
+    /// Whether a switch is in progress.
     pub switching: bool,
-    /// Orders taken since its start.
+    /// Orders accepted since its start.
     pub orders: u64,
-    /// What it holds of each model.
+    /// Weights it holds, by model.
     pub holdings: Vec<Holding>,
-    /// Requests it runs.
+    /// Running requests.
     pub running: u32,
-    /// Requests it has queued.
+    /// Queued requests.
     pub queued: u32,
-    /// Start of its life, where it tells it.
+    /// Start time, if the engine reports it.
     pub start_time: Option<StartTime>,
 }
 
 impl EngineState {
-    /// Whether an engine of another life answered than the one `before`: it was born at another time, or has
-    /// taken fewer orders.
+    /// Returns whether this state is of another incarnation of the engine than the one `before`: its start time
+    /// differs, or it has accepted fewer orders.
     pub fn is_new_incarnation(&self, before: &EngineState) -> bool {
         let restarted =
             matches!((self.start_time, before.start_time), (Some(now), Some(then)) if now != then);
@@ -64,34 +64,34 @@
     pub digests: Vec<ChunkDigest>,
 }
 
-/// A chunk laid out at the engine.
+/// A chunk to stage at the engine.
 #[derive(Debug, Clone)]
 pub struct StagedChunk {
     /// Model.
     pub model: Model,
     /// Index of the chunk.
     pub chunk: usize,
-    /// Bytes.
+    /// Content.
     pub buf: Bytes,
 }
 
-/// An order to put what lies staged into use.
+/// An order to switch to the staged chunks.
 #[derive(Debug, Clone)]
 pub struct SwitchOrder {
     /// Model.
     pub model: Model,
-    /// Version of what lies staged.
+    /// Version of the staged chunks.
     pub version: WeightsVersion,
-    /// Orders that the engine must have taken, or it refuses.
+    /// Number of orders that the engine must have accepted so far; otherwise it refuses.
     pub orders: u64,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderResult {
-    /// It has begun, or what was asked for is in use already.
+    /// The switch has started, or the version is in use already.
     Taken,
-    /// It doesn't fit the engine's state; read the state again.
+    /// The order conflicts with the engine's state, which has to be read again; holds the HTTP status.
     Conflict(u16),
 }
 
@@ -106,19 +106,19 @@
     pub version: WeightsVersion,
 }
 
-/// Calls.
+/// Calls that the platform provides.
 #[derive(Clone)]
 pub struct Api {
-    /// State of the engine, as of now.
+    /// Returns the current state of the engine.
     pub state: Call<(), EngineState>,
-    /// Lays a chunk out at the engine.
+    /// Stages a chunk at the engine.
     pub put: Call<StagedChunk, ()>,
-    /// Reads a chunk back; `None` where none lies there.
+    /// Reads a staged chunk back; `None` if it isn't staged.
     pub get: Call<(Model, usize), Option<Bytes>>,
-    /// Orders the engine to take what lies there.
+    /// Orders the engine to switch to the staged chunks.
     pub start: Call<SwitchOrder, OrderResult>,
-    /// Manifest of a version.
+    /// Fetches the manifest of a version from the origin.
     pub manifest: Call<OriginVersion, Manifest>,
-    /// A chunk of a version.
+    /// Fetches a chunk of a version from the origin.
     pub chunk: Call<(OriginVersion, usize), Bytes>,
 }
--- a/crates/loader/src/sets.rs
+++ b/crates/loader/src/chunk_set.rs
@@ -1,4 +1,4 @@
-//! Chunks of weights held in memory, by model and version.
+//! In-memory store of weight chunks, by model and version.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,12 +11,12 @@
 
 use crate::api::Manifest;
 
-/// Versions of a model held at once: the one in use, and two that were released since.
-const MOST_VERSIONS: usize = 3;
+/// Maximum number of versions held per model: the one in use, and two that were released since.
+const MAX_VERSIONS: usize = 3;
 
 /// Chunks of one version.
 #[derive(Debug)]
-pub struct Set {
+pub struct ChunkSet {
     /// Model.
     pub model: Model,
     /// Version.
@@ -24,25 +24,25 @@
     /// Manifest.
     pub manifest: Manifest,
     chunks: Mutex<Vec<Option<Bytes>>>,
-    /// Chunks that this loader or another holds.
-    obtainable: AtomicUsize,
-    /// When the last chunk came; when it was begun before that.
-    progress: Mutex<Instant>,
-    /// Whether what lies at the engine is among the chunks.
+    /// Number of chunks that this loader or another holds.
+    available: AtomicUsize,
+    /// When the last chunk arrived, or the set was created.
+    last_progress: Mutex<Instant>,
+    /// Whether chunks staged at the engine have been read back.
     read_back: AtomicBool,
 }
 
-impl Set {
-    /// A set without chunks.
-    pub fn new(model: Model, version: WeightsVersion, manifest: Manifest) -> Set {
+impl ChunkSet {
+    /// Creates a set without chunks.
+    pub fn new(model: Model, version: WeightsVersion, manifest: Manifest) -> ChunkSet {
         let chunks = Mutex::new(vec![None; manifest.digests.len()]);
-        Set {
+        ChunkSet {
             model,
             version,
             manifest,
             chunks,
-            obtainable: AtomicUsize::new(0),
-            progress: Mutex::new(clock::now()),
+            available: AtomicUsize::new(0),
+            last_progress: Mutex::new(clock::now()),
             read_back: AtomicBool::new(false),
         }
     }
@@ -51,103 +51,105 @@
         self.chunks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether bytes are the chunk that the manifest lists.
+    /// Returns whether a buffer matches the digest of a chunk in the manifest.
     pub fn is_chunk(&self, i: usize, buf: &[u8]) -> bool {
         let digest: [u8; 32] = Sha256::digest(buf).into();
         self.manifest.digests.get(i) == Some(&digest)
     }
 
-    /// Keeps a chunk if it is the one listed; `false` where it isn't.
+    /// Stores a chunk if it matches the manifest; returns whether it does.
     pub fn put(&self, i: usize, buf: Bytes) -> bool {
-        let good = self.is_chunk(i, &buf);
-        if good {
+        let is_valid = self.is_chunk(i, &buf);
+        if is_valid {
             self.lock()[i] = Some(buf);
-            *self.progress() = clock::now();
+            *self.last_progress() = clock::now();
         }
-        good
+        is_valid
     }
 
-    fn progress(&self) -> MutexGuard<'_, Instant> {
-        self.progress.lock().unwrap_or_else(PoisonError::into_inner)
+    fn last_progress(&self) -> MutexGuard<'_, Instant> {
+        self.last_progress
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that what lies at the engine is among the chunks, or that none of it does.
+    /// Records that the chunks staged at the engine have been read back, or that none are of this version.
     pub fn set_read_back(&self) {
         self.read_back.store(true, Relaxed);
     }
 
-    /// Whether nothing lies at the engine that isn't among the chunks.
+    /// Returns whether no chunks are left to read back from the engine.
     pub fn is_read_back(&self) -> bool {
         self.read_back.load(Relaxed)
     }
 
-    /// Time since the last chunk came.
-    pub fn stood_still(&self) -> Duration {
-        clock::since(*self.progress())
+    /// Returns the time since the last chunk arrived.
+    pub fn stalled_for(&self) -> Duration {
+        clock::since(*self.last_progress())
     }
 
-    /// Chunks that aren't held.
+    /// Returns the number of missing chunks.
     pub fn missing(&self) -> usize {
         self.lock().iter().filter(|c| c.is_none()).count()
     }
 
-    /// Notes how many chunks this loader or another holds.
-    pub fn set_obtainable(&self, chunks: usize) {
-        self.obtainable.store(chunks, Relaxed);
+    /// Records how many chunks this loader or another holds.
+    pub fn set_available(&self, chunks: usize) {
+        self.available.store(chunks, Relaxed);
     }
 
-    /// Part of the chunks that this loader or another holds.
-    pub fn obtainable(&self) -> f64 {
+    /// Returns the fraction of chunks that this loader or another holds.
+    pub fn available_fraction(&self) -> f64 {
         let own = self.len() - self.missing();
-        let chunks = self.obtainable.load(Relaxed).max(own);
+        let chunks = self.available.load(Relaxed).max(own);
         chunks as f64 / self.len().max(1) as f64
     }
 
-    /// A chunk.
+    /// Returns a chunk, if it is held.
     pub fn get(&self, i: usize) -> Option<Bytes> {
         self.lock().get(i).cloned().flatten()
     }
 
-    /// Which chunks are held.
+    /// Returns a flag for each chunk, set if it is held.
     pub fn have(&self) -> Vec<bool> {
         self.lock().iter().map(Option::is_some).collect()
     }
 
-    /// Whether all chunks are held.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether all chunks are held.
+    pub fn is_complete(&self) -> bool {
         self.lock().iter().all(Option::is_some)
     }
 
-    /// Number of chunks.
+    /// Returns the number of chunks of the version.
     pub fn len(&self) -> usize {
         self.manifest.digests.len()
     }
 
-    /// Whether the version has no chunks at all.
+    /// Returns whether the version consists of no chunks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// All sets.
+/// Chunk sets of all models.
 #[derive(Debug, Default)]
-pub struct Sets {
-    sets: Mutex<Vec<Arc<Set>>>,
+pub struct ChunkSets {
+    sets: Mutex<Vec<Arc<ChunkSet>>>,
 }
 
-impl Sets {
-    fn lock(&self) -> MutexGuard<'_, Vec<Arc<Set>>> {
+impl ChunkSets {
+    fn lock(&self) -> MutexGuard<'_, Vec<Arc<ChunkSet>>> {
         self.sets.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A set, if it is held.
-    pub fn get(&self, model: &str, version: WeightsVersion) -> Option<Arc<Set>> {
-        let is = |s: &&Arc<Set>| s.model == model && s.version == version;
+    /// Returns the set of a version, if there is one.
+    pub fn get(&self, model: &str, version: WeightsVersion) -> Option<Arc<ChunkSet>> {
+        let is = |s: &&Arc<ChunkSet>| s.model == model && s.version == version;
         self.lock().iter().find(is).cloned()
     }
 
-    /// Adds a set and lets go of the oldest versions; returns the one held where there was one.
-    pub fn add(&self, set: Set) -> Arc<Set> {
+    /// Adds a set and drops the oldest version beyond the limit; returns the existing set if there is one.
+    pub fn add(&self, set: ChunkSet) -> Arc<ChunkSet> {
         if let Some(held) = self.get(&set.model, set.version) {
             return held;
         }
@@ -155,7 +157,7 @@
         let mut sets = self.lock();
         sets.push(set.clone());
         let of_model = sets.iter().filter(|s| s.model == set.model).count();
-        if of_model > MOST_VERSIONS {
+        if of_model > MAX_VERSIONS {
             let oldest = sets
                 .iter()
                 .filter(|s| s.model == set.model)
@@ -166,17 +168,17 @@
         set
     }
 
-    /// Newest whole version of a model.
-    pub fn newest_whole(&self, model: &str) -> Option<Arc<Set>> {
+    /// Returns the newest complete version of a model.
+    pub fn newest_complete(&self, model: &str) -> Option<Arc<ChunkSet>> {
         self.lock()
             .iter()
-            .filter(|s| s.model == model && s.is_whole())
+            .filter(|s| s.model == model && s.is_complete())
             .max_by_key(|s| s.version)
             .cloned()
     }
 
-    /// All sets.
-    pub fn all(&self) -> Vec<Arc<Set>> {
+    /// Returns all sets.
+    pub fn all(&self) -> Vec<Arc<ChunkSet>> {
         self.lock().clone()
     }
 }
--- a/crates/loader/src/fetch.rs
+++ b/crates/loader/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Brings the chunks of a version that are missing.
+//! Fetches the missing chunks of a version.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
@@ -14,70 +14,73 @@
 use wire::Peer;
 
 use crate::Cx;
+use crate::announcer::Announcer;
 use crate::api::OriginVersion;
-use crate::bring::{Fetched, NoChunk, bring};
-use crate::order::Order;
-use crate::peers::{Heard, Reach, announce, loaders};
-use crate::present::Present;
-use crate::said::Said;
-use crate::sets::Set;
+use crate::chunk::{ChunkError, Fetched, fetch_chunk};
+use crate::chunk_set::ChunkSet;
+use crate::peers::{PeerChunks, Scope, announce, loaders};
+use crate::presence::Presence;
+use crate::schedule::OriginSchedule;
 
 /// Log prefix of this part.
 const PART: &str = "fetch";
 
-/// Most chunks drawn from the origin at once by one loader: one travels while the next is asked for.
-const ORIGIN_FETCHES: usize = 2;
+/// Maximum number of chunks that one loader fetches from the origin at once: one is in transit while the next is
+/// requested.
+const MAX_ORIGIN_FETCHES: usize = 2;
 
-/// Part of the origin's connections that is used; some are still held by loaders that are gone.
+/// Fraction of the origin's connections that is used; some are still occupied by loaders that are gone.
 const ORIGIN_USE: f64 = 0.7;
 
-/// Time between two looks at what has become available, and between two announcements.
+/// Interval of checks for chunks that have become available and for announcements that are due.
 const TICK: Duration = Duration::from_millis(40);
 
-/// Shortest time between two looks at what others have said.
-const LEARN_PAUSE: Duration = Duration::from_millis(10);
+/// Minimum time between two reads of other loaders' announcements.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time after the beginning in which loaders are counted on that said nothing yet.
-pub(crate) const SETTLED: Duration = Duration::from_millis(400);
+/// Time after the start of a fetch for which loaders without an announcement are counted on.
+pub(crate) const GRACE_TIME: Duration = Duration::from_millis(400);
 
-/// Pause after the origin failed, so that it isn't asked in a tight loop, where up to
-/// [`ORIGIN_PAUSE_LOADERS`] loaders do so; where there are more, it grows with them.
-const ORIGIN_PAUSE: Duration = Duration::from_millis(200);
+/// Mean back-off after a failed request to the origin, for up to [`ORIGIN_BACK_OFF_LOADERS`] loaders; it grows in
+/// proportion if there are more.
+const ORIGIN_BACK_OFF: Duration = Duration::from_millis(200);
 
-/// Time for which nothing is drawn from the origin until the engine can be read back: both start with their
-/// VMs, and a whole fleet that doesn't wait draws a version that its engines hold.
+/// Maximum time to wait for chunks staged at the engine to be read back before fetching from the origin. Loader and
+/// engine start together with their VM; without the wait, a whole fleet would fetch a version that its engines
+/// hold.
 const ENGINE_WAIT: Duration = Duration::from_secs(3);
 
-/// Loaders that may each ask an origin that is away five times a second.
-const ORIGIN_PAUSE_LOADERS: usize = 16;
+/// Number of loaders that may each request from an unreachable origin five times a second.
+const ORIGIN_BACK_OFF_LOADERS: usize = 16;
 
-/// Fetch of one version.
+/// A fetch of one version.
 pub(crate) struct Fetch {
     pub(crate) cx: Arc<Cx>,
-    pub(crate) set: Arc<Set>,
+    pub(crate) set: Arc<ChunkSet>,
     origin: OriginVersion,
     client: Client,
     pub(crate) swarm: Swarm,
     pub(crate) rule: Rule,
     in_flight: HashSet<usize>,
+    /// Chunks in flight from the origin.
     from_origin: usize,
-    origin_fetches: usize,
-    order: Order,
-    /// Whether the origin failed when it was last asked, and nothing has come from it since.
-    origin_away: bool,
-    /// Chunks that any loader held when it failed.
-    held_before: usize,
-    origin_rests_until: Instant,
-    pub(crate) begun: Instant,
-    progress: Instant,
-    /// When it was last looked at what others have said.
-    learned: Instant,
-    /// Other loaders of the failure domain.
-    pub(crate) near: usize,
+    max_origin_fetches: usize,
+    schedule: OriginSchedule,
+    /// Whether the last request to the origin failed, and no chunk has been fetched from it since.
+    origin_unreachable: bool,
+    /// Number of chunks that any loader held when the origin failed.
+    available_at_failure: usize,
+    origin_back_off_until: Instant,
+    pub(crate) started: Instant,
+    last_progress: Instant,
+    /// Last time that other loaders' announcements were read.
+    last_read: Instant,
+    /// Number of other loaders in the failure domain.
+    pub(crate) near_loaders: usize,
     pub(crate) counts: Counts,
 }
 
-/// How chunks came, for the log.
+/// Outcomes of chunk fetches by source, for the log.
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) origin: u32,
@@ -87,12 +90,12 @@
     failed: u32,
 }
 
-/// Brings all chunks of a set; returns when it is whole.
-pub(crate) async fn fetch(cx: Arc<Cx>, set: Arc<Set>, origin: OriginVersion, client: Client) {
+/// Fetches all chunks of a set; returns once it is complete.
+pub(crate) async fn fetch(cx: Arc<Cx>, set: Arc<ChunkSet>, origin: OriginVersion, client: Client) {
     let now = clock::now();
     let rule = rule(&cx);
-    let origin_fetches = origin_fetches(&cx);
-    let order = Order::new(chunk_time(&cx), &vec![false; set.len()], now);
+    let max_origin_fetches = max_origin_fetches(&cx);
+    let schedule = OriginSchedule::new(chunk_time(&cx), &vec![false; set.len()], now);
     let mut fetch = Fetch {
         set,
         origin,
@@ -101,62 +104,61 @@
         rule,
         in_flight: HashSet::default(),
         from_origin: 0,
-        origin_fetches,
-        order,
-        origin_away: false,
-        held_before: 0,
-        origin_rests_until: now,
-        begun: now,
-        progress: now,
-        learned: now,
-        near: 0,
+        max_origin_fetches,
+        schedule,
+        origin_unreachable: false,
+        available_at_failure: 0,
+        origin_back_off_until: now,
+        started: now,
+        last_progress: now,
+        last_read: now,
+        near_loaders: 0,
         counts: Counts::default(),
         cx,
     };
-    announce(&fetch.cx, &fetch.set, true, Reach::NearAndSome);
+    announce(&fetch.cx, &fetch.set, true, Scope::NearAndSample);
     let mut fetching = JoinSet::new();
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut said = Said::new(&fetch, now);
-    while !fetch.set.is_whole() {
+    let mut announcer = Announcer::new(&fetch, now);
+    while !fetch.set.is_complete() {
         fetch.start(&mut fetching);
         tokio::select! {
             Some(fetched) = fetching.join_next(), if !fetching.is_empty() => match fetched {
                 Ok(fetched) => {
-                    fetch.took(fetched);
-                    said.say_to_takers(&fetch);
+                    fetch.handle(fetched);
+                    announcer.announce_to_receivers(&fetch);
                 }
                 Err(e) => warn!(target: PART, "{PART}: event=task_failed why=\"{e}\""),
             },
-            () = heard(&fetch.cx, fetch.learned) => fetch.learn_newest(),
+            () = announced(&fetch.cx, fetch.last_read) => fetch.read_new_announcements(),
             _ = ticks.tick() => {
-                fetch.learn();
-                said.say(&fetch);
+                fetch.read_announcements();
+                announcer.announce_if_due(&fetch);
             }
         }
     }
-    announce(&fetch.cx, &fetch.set, false, Reach::NearAndSome);
-    info!(target: PART, "{PART}: event=whole model={} version={} took={:?} {:?}", fetch.set.model, fetch.set.version, clock::since(fetch.begun), fetch.counts);
+    announce(&fetch.cx, &fetch.set, false, Scope::NearAndSample);
+    info!(target: PART, "{PART}: event=whole model={} version={} took={:?} {:?}", fetch.set.model, fetch.set.version, clock::since(fetch.started), fetch.counts);
 }
 
-/// Waits until another loader has said something, and at least a while after what was said before that
-/// was taken.
-async fn heard(cx: &Cx, learned: Instant) {
-    cx.heard.notified().await;
-    clock::sleep_until(learned + LEARN_PAUSE).await;
+/// Waits for an announcement of another loader, and for at least [`MIN_READ_INTERVAL`] since the last read.
+async fn announced(cx: &Cx, last_read: Instant) {
+    cx.announced.notified().await;
+    clock::sleep_until(last_read + MIN_READ_INTERVAL).await;
 }
 
-/// Chunks that this loader may draw at once, so that all together stay within the connections that
-/// the origin takes.
-fn origin_fetches(cx: &Cx) -> usize {
+/// Returns how many chunks this loader may fetch from the origin at once, so that all loaders together stay within
+/// the connections that the origin accepts.
+fn max_origin_fetches(cx: &Cx) -> usize {
     let catalog = cx.catalog.borrow();
     let origin = catalog.as_ref().and_then(|c| c.origin().cloned());
-    let most = origin.map_or(0.0, |o| f64::from(o.max_connections));
-    let part = most * ORIGIN_USE / (loaders(cx).len() + 1) as f64;
-    (part as usize).clamp(1, ORIGIN_FETCHES)
+    let max = origin.map_or(0.0, |o| f64::from(o.max_connections));
+    let share = max * ORIGIN_USE / (loaders(cx).len() + 1) as f64;
+    (share as usize).clamp(1, MAX_ORIGIN_FETCHES)
 }
 
-/// Time in which the origin's link carries a chunk; zero where its rate isn't known.
+/// Returns the time in which the origin's link carries a chunk; zero if its rate is unknown.
 fn chunk_time(cx: &Cx) -> Duration {
     let catalog = cx.catalog.borrow();
     let origin = catalog.as_ref().and_then(|c| c.origin());
@@ -187,77 +189,78 @@
 }
 
 impl Fetch {
-    /// Takes what other loaders have said since it was last looked at.
-    fn learn_newest(&mut self) {
-        let since = std::mem::replace(&mut self.learned, clock::now());
-        for (addr, heard) in self.heard_since(Some(since)) {
-            self.swarm.set_have(addr, heard.have);
+    /// Applies the announcements received since the last read.
+    fn read_new_announcements(&mut self) {
+        let since = std::mem::replace(&mut self.last_read, clock::now());
+        for (addr, chunks) in self.announced(Some(since)) {
+            self.swarm.set_have(addr, chunks.have);
         }
     }
 
-    /// Takes all that other loaders have said. Those that bring the version too say so again and
-    /// again; one that has fallen silent is not counted on, and what fell to it falls to others.
-    fn learn(&mut self) {
-        self.learned = clock::now();
-        let heard = self.heard_since(None);
+    /// Applies all announcements and the member list. Loaders that fetch the version too repeat their announcements;
+    /// others take over from one that has become unresponsive.
+    fn read_announcements(&mut self) {
+        self.last_read = clock::now();
+        let announced = self.announced(None);
         let members = loaders(&self.cx);
         let own = &self.rule.domain;
-        self.near = members.iter().filter(|m| m.domain == *own).count();
-        let present = Present::new(&members, &heard, own, self.near);
-        let settled = clock::since(self.begun) > SETTLED;
+        self.near_loaders = members.iter().filter(|m| m.domain == *own).count();
+        let presence = Presence::new(&members, &announced, own, self.near_loaders);
+        let grace_over = clock::since(self.started) > GRACE_TIME;
         let peers = members
             .iter()
             .map(|m| Peer {
-                leaving: !present.is_present(m, settled),
+                leaving: !presence.is_present(m, grace_over),
                 vm: m.vm.clone(),
                 domain: m.domain.clone(),
                 addr: m.peer_addr,
             })
             .collect();
         self.swarm.set_peers(&self.cx.cfg.node.vm, peers);
-        for (addr, heard) in heard {
-            self.swarm.set_have(addr, heard.have);
+        for (addr, chunks) in announced {
+            self.swarm.set_have(addr, chunks.have);
         }
-        let held = self.held();
-        self.set.set_obtainable(held);
-        if self.origin_away && held > self.held_before {
-            self.origin_is_back();
+        let available = self.available();
+        self.set.set_available(available);
+        if self.origin_unreachable && available > self.available_at_failure {
+            self.resume_origin();
         }
     }
 
-    fn heard_since(&self, since: Option<Instant>) -> Map<SocketAddr, Heard> {
-        let known = self.cx.peers.lock().unwrap_or_else(PoisonError::into_inner);
-        known.heard(&self.set.model, self.set.version, self.set.len(), since)
+    fn announced(&self, since: Option<Instant>) -> Map<SocketAddr, PeerChunks> {
+        let peers = self.cx.peers.lock().unwrap_or_else(PoisonError::into_inner);
+        peers.announced(&self.set.model, self.set.version, self.set.len(), since)
     }
 
-    /// Chunks that this loader or another holds.
-    fn held(&self) -> usize {
-        self.is_held().iter().filter(|held| **held).count()
+    /// Returns the number of chunks that this loader or another holds.
+    fn available(&self) -> usize {
+        self.available_chunks().iter().filter(|held| **held).count()
     }
 
-    fn is_held(&self) -> Vec<bool> {
+    fn available_chunks(&self) -> Vec<bool> {
         let own = self.set.have();
         let held = |(i, own): (usize, &bool)| *own || self.swarm.is_held(i);
         own.iter().enumerate().map(held).collect()
     }
 
-    /// Has what is left drawn in order again, from now on. All loaders learn of the first chunk that
-    /// comes, so they begin at about the same moment.
-    fn origin_is_back(&mut self) {
+    /// Schedules the remaining chunks anew, starting now, since the origin is back. All loaders receive the announcement
+    /// of the first chunk, so they start at about the same time.
+    fn resume_origin(&mut self) {
         let now = clock::now();
-        self.origin_away = false;
-        self.origin_rests_until = now;
-        self.progress = now;
-        self.order = Order::new(self.order.chunk_time, &self.is_held(), now);
-        info!(target: PART, "{PART}: event=origin_back version={} held={}", self.set.version, self.held());
+        self.origin_unreachable = false;
+        self.origin_back_off_until = now;
+        self.last_progress = now;
+        self.schedule =
+            OriginSchedule::new(self.schedule.chunk_time, &self.available_chunks(), now);
+        info!(target: PART, "{PART}: event=origin_back version={} held={}", self.set.version, self.available());
     }
 
-    /// Starts as many chunks as may be brought at once, the most urgent first.
+    /// Starts as many chunk fetches as the window permits, the most urgent first.
     fn start(&mut self, fetching: &mut JoinSet<Fetched>) {
-        if !self.cx.window.has_room(self.in_flight.len()) {
+        if !self.cx.window.has_capacity(self.in_flight.len()) {
             return;
         }
-        let (waited, stalled) = (clock::since(self.begun), clock::since(self.progress));
+        let (waited, stalled) = (clock::since(self.started), clock::since(self.last_progress));
         let have = self.set.have();
         let choosing = self.swarm.choosing(&self.rule, waited, stalled);
         let mut ready: Vec<_> = (0..have.len())
@@ -271,14 +274,14 @@
         ready.shuffle(&mut rand::rng());
         ready.sort_by_key(|(urgency, ..)| *urgency);
         for (_, i, source) in ready {
-            if !self.cx.window.has_room(self.in_flight.len()) {
+            if !self.cx.window.has_capacity(self.in_flight.len()) {
                 return;
             }
             match source {
                 Source::Origin => {
-                    if self.origin_rests()
-                        || !self.order.is_due(i, clock::now())
-                        || self.from_origin >= self.origin_fetches
+                    if self.is_origin_paused()
+                        || !self.schedule.is_due(i, clock::now())
+                        || self.from_origin >= self.max_origin_fetches
                     {
                         continue;
                     }
@@ -296,30 +299,30 @@
             let (origin, client) = (self.origin.clone(), self.client.clone());
             let in_flight = self.cx.window.begin();
             fetching.spawn(async move {
-                let begun = clock::now();
-                let result = bring(&cx, &set, origin, &client, i, source).await;
+                let started = clock::now();
+                let result = fetch_chunk(&cx, &set, origin, &client, i, source).await;
                 drop(in_flight);
-                let took = clock::since(begun);
+                let elapsed = clock::since(started);
                 Fetched {
                     i,
                     source,
-                    took,
+                    elapsed,
                     result,
                 }
             });
         }
     }
 
-    /// Whether nothing is drawn from the origin now.
-    fn origin_rests(&self) -> bool {
-        let may_lie_there = !self.set.is_read_back() && clock::since(self.begun) < ENGINE_WAIT;
-        may_lie_there || clock::now() < self.origin_rests_until
+    /// Returns whether no chunks may be fetched from the origin now.
+    fn is_origin_paused(&self) -> bool {
+        let may_be_staged = !self.set.is_read_back() && clock::since(self.started) < ENGINE_WAIT;
+        may_be_staged || clock::now() < self.origin_back_off_until
     }
 
-    fn origin_pause(&self) -> Duration {
+    fn origin_back_off(&self) -> Duration {
         let loaders = self.swarm.peers().len() + 1;
-        let more = (loaders as f64 / ORIGIN_PAUSE_LOADERS as f64).max(1.0);
-        ORIGIN_PAUSE.mul_f64(more * rand::rng().random_range(0.5..1.5))
+        let factor = (loaders as f64 / ORIGIN_BACK_OFF_LOADERS as f64).max(1.0);
+        ORIGIN_BACK_OFF.mul_f64(factor * rand::rng().random_range(0.5..1.5))
     }
 
     fn is_near(&self, addr: SocketAddr) -> bool {
@@ -327,23 +330,24 @@
         self.swarm.peers().iter().any(|p| near(&p))
     }
 
-    fn took(&mut self, fetched: Fetched) {
+    /// Handles the outcome of a chunk fetch.
+    fn handle(&mut self, fetched: Fetched) {
         let Fetched {
             i,
             source,
-            took,
+            elapsed,
             result,
         } = fetched;
-        self.cx.window.took(took);
+        self.cx.window.record_latency(elapsed);
         self.in_flight.remove(&i);
         match source {
             Source::Origin => self.from_origin -= 1,
             Source::Peer(addr) => self.swarm.ended(addr),
         }
-        let good = result.as_ref().map(|buf| self.set.put(i, buf.clone()));
-        match (good, source) {
+        let is_valid = result.as_ref().map(|buf| self.set.put(i, buf.clone()));
+        match (is_valid, source) {
             (Ok(true), Source::Peer(addr)) => {
-                self.progress = clock::now();
+                self.last_progress = clock::now();
                 match self.is_near(addr) {
                     true => self.counts.near += 1,
                     false => self.counts.far += 1,
@@ -351,8 +355,8 @@
             }
             (Ok(true), Source::Origin) => {
                 self.counts.origin += 1;
-                if self.origin_away {
-                    self.origin_is_back();
+                if self.origin_unreachable {
+                    self.resume_origin();
                 }
                 metrics::counter!("driftnotch_origin_chunks_total").increment(1);
             }
@@ -363,29 +367,30 @@
                     self.swarm.bad(addr, &self.rule);
                 }
             }
-            (Err(NoChunk::Busy), Source::Peer(addr)) => {
+            (Err(ChunkError::Busy), Source::Peer(addr)) => {
                 self.counts.busy += 1;
                 self.swarm.busy(addr);
             }
-            (Err(NoChunk::Absent), Source::Peer(addr)) => self.swarm.lacks(addr),
-            (Err(NoChunk::Failed(e)), Source::Peer(addr)) => {
+            (Err(ChunkError::Absent), Source::Peer(addr)) => self.swarm.lacks(addr),
+            (Err(ChunkError::Failed(e)), Source::Peer(addr)) => {
                 debug!(target: PART, "{PART}: event=no_chunk chunk={i} peer={addr} why=\"{e}\"");
                 self.counts.failed += 1;
                 self.swarm.silent(addr);
             }
             (Err(e), Source::Origin) => {
-                if let NoChunk::Failed(e) = e {
+                if let ChunkError::Failed(e) = e {
                     debug!(target: PART, "{PART}: event=no_chunk chunk={i} source=origin why=\"{e}\"");
                 }
                 self.counts.failed += 1;
                 let now = clock::now();
-                if !self.origin_away {
-                    self.origin_away = true;
-                    self.held_before = self.held();
+                if !self.origin_unreachable {
+                    self.origin_unreachable = true;
+                    self.available_at_failure = self.available();
                 }
-                // It fails those whose turn it is as well; they are not to be stepped in for.
-                self.progress = now;
-                self.origin_rests_until = now + self.origin_pause();
+                // The origin fails other loaders as well. Counting this as progress keeps this loader from taking
+                // over their chunks.
+                self.last_progress = now;
+                self.origin_back_off_until = now + self.origin_back_off();
             }
         }
     }
--- a/crates/loader/src/lib.rs
+++ b/crates/loader/src/lib.rs
@@ -1,28 +1,33 @@
-//! Brings released weights to the engine beside it, and passes chunks on to other loaders.
+//! Fetches released weights for the engine on the same VM and serves their chunks to other loaders.
 //!
-//! [`rollout`] decides what the engine is to hold and runs the steps: [`manifest`] gets the list of a
-//! version's chunks, [`fetch`] brings those that are missing from other loaders and the origin into [`sets`],
-//! as many at once as [`window`] has room for ([`said`] is what loaders tell each other meanwhile, [`present`]
-//! whom they count on by it), [`stage`] lays them out at the engine and reads them back, [`turn`] says when the
-//! engine may leave service to take them, and [`tell`] tells gateways what it serves. How to talk to the engine
-//! and to the origin belongs to the platform; [`api`] holds the functions for it.
+//! [`rollout`] decides which version the engine should hold and runs these steps:
+//!
+//! - [`manifest`] fetches the list of a version's chunks.
+//! - [`fetch`] fetches missing chunks from other loaders and, by [`schedule`], from the origin into [`chunk_set`],
+//!   as many concurrently as [`window`] permits. [`announcer`] announces them to other loaders; [`presence`] decides
+//!   by such announcements which loaders are counted on.
+//! - [`stage`] stages the chunks at the engine and verifies them.
+//! - [`slot`] decides when the engine may leave service to switch.
+//!
+//! [`status`] publishes the state of the engine to gateways. The calls to the engine and the origin depend on the
+//! platform, which provides them by [`api`].
 
 #![deny(clippy::disallowed_methods)]
 
+mod announcer;
 pub mod api;
-mod bring;
+mod chunk;
+pub mod chunk_set;
 mod fetch;
 mod manifest;
-pub mod order;
 mod peers;
-mod present;
+mod presence;
 mod rollout;
 mod run;
-mod said;
-pub mod sets;
+pub mod schedule;
+pub mod slot;
 mod stage;
-mod tell;
-pub mod turn;
+mod status;
 pub mod window;
 
 use std::sync::atomic::AtomicBool;
@@ -36,23 +41,23 @@
 use tokio::sync::{Notify, watch};
 
 use crate::api::Api;
+use crate::chunk_set::ChunkSets;
 use crate::peers::Peers;
-use crate::sets::Sets;
 use crate::window::Window;
 
 pub use run::run;
 
-/// Newest releases, and since when this process knows them.
+/// Newest releases, and when they became known to this process.
 #[derive(Debug, Clone, Default)]
 pub struct KnownReleases {
     /// Releases.
     pub list: ReleaseList,
-    /// When each version became known.
+    /// Time at which each version became known.
     pub since: Map<(Model, WeightsVersion), Instant>,
 }
 
 impl KnownReleases {
-    /// Takes a list; `true` where it names a higher version of any model. Nothing takes a version back, see
+    /// Merges a list; returns whether the version of any model increased. Versions never decrease, see
     /// [`ReleaseList::merge`].
     pub fn merge(&mut self, list: &ReleaseList, now: Instant) -> bool {
         let raised = self.list.merge(list);
@@ -63,13 +68,13 @@
         raised
     }
 
-    /// Newest version of a model.
+    /// Returns the newest version of a model.
     pub fn version(&self, model: &Model) -> WeightsVersion {
         self.list.version(model).unwrap_or(FIRST_VERSION)
     }
 }
 
-/// What a loader is made of.
+/// Dependencies of a loader.
 pub struct Wiring {
     /// Settings.
     pub cfg: LoaderCfg,
@@ -77,17 +82,17 @@
     pub service: ServiceName,
     /// Calls to the engine and the origin.
     pub api: Api,
-    /// Configuration; `None` until one is known.
+    /// Configuration; `None` until it is known.
     pub catalog: watch::Receiver<Option<Arc<Catalog>>>,
-    /// Releases, which gateways and the platform's store tell.
+    /// Known releases, from gateways and the platform's store.
     pub known: Arc<watch::Sender<KnownReleases>>,
-    /// Other processes.
+    /// Member list.
     pub members: watch::Receiver<Vec<Member>>,
-    /// Turns true when a planned stop begins.
+    /// Set to true when a shutdown begins.
     pub stop: watch::Receiver<bool>,
 }
 
-/// What everything in a loader shares.
+/// Shared state of a loader.
 pub(crate) struct Cx {
     pub(crate) cfg: LoaderCfg,
     pub(crate) service: ServiceName,
@@ -98,16 +103,16 @@
     pub(crate) stop: watch::Receiver<bool>,
     pub(crate) incarnation: Incarnation,
     pub(crate) beacon: Beacon,
-    pub(crate) sets: Sets,
-    /// Chunks that are brought at once.
+    pub(crate) sets: ChunkSets,
+    /// Limit on concurrent chunk fetches.
     pub(crate) window: Window,
     pub(crate) peers: Mutex<Peers>,
-    /// Told when another loader said what it has.
-    pub(crate) heard: Notify,
-    /// Told when the engine's state should be read at once.
-    pub(crate) look: Notify,
-    /// Whether the engine is about to leave service for new weights.
+    /// Notified of each announcement of another loader.
+    pub(crate) announced: Notify,
+    /// Notified when the engine's state should be polled at once.
+    pub(crate) poll_engine: Notify,
+    /// Whether the engine is about to leave service to switch weights.
     pub(crate) leaving: AtomicBool,
-    /// When its turn to do so comes; `None` where it has the newest weights.
+    /// Planned time to leave service for new weights; `None` if no switch is planned.
     pub(crate) leaves_at: Mutex<Option<Instant>>,
 }
--- a/crates/loader/src/manifest.rs
+++ b/crates/loader/src/manifest.rs
@@ -1,7 +1,7 @@
-//! Gets the manifest of a version.
+//! Fetches the manifest of a version.
 //!
-//! All loaders rank each other alike. The first in the order asks the origin, the others ask those that have the
-//! manifest; one asks the origin itself when those before it have had time to.
+//! All loaders compute the same ranking of each other. The first one requests the manifest from the origin, the
+//! others from loaders that have it. Each turns to the origin itself once those ranked before it have had time to.
 
 use std::net::SocketAddr;
 use std::sync::PoisonError;
@@ -16,101 +16,100 @@
 
 use crate::Cx;
 use crate::api::{Manifest, OriginVersion};
-use crate::peers::{ask_manifest, loaders};
+use crate::peers::{fetch_manifest, loaders};
 
 /// Log prefix of this part.
 const PART: &str = "manifest";
 
-/// Mean pause before a manifest is asked for again.
-const MANIFEST_PAUSE: Duration = Duration::from_millis(20);
+/// Mean pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Loaders at the head of the order that others ask.
-const MANIFEST_HOLDERS: usize = 2;
+/// Number of first-ranked loaders that others request the manifest from while no holder is known.
+const DEFAULT_HOLDERS: usize = 2;
 
-/// Time that each loader in the order has for bringing a manifest before the next asks the origin. A
-/// manifest of 4 KB is there 30 ms after it was asked for, and after a loss of power those that come
-/// first may still be dark.
-const MANIFEST_TURN: Duration = Duration::from_millis(50);
+/// Time that each loader of the ranking has to fetch the manifest before the next one turns to the origin. A
+/// manifest of 4 KB arrives 30 ms after it was requested; after a power failure the first loaders may still be
+/// down.
+const TIME_PER_RANK: Duration = Duration::from_millis(50);
 
-/// Time in which a loader sends a manifest of a hundred chunks, 3 KB, over 7.3 Mbit/s.
-const MANIFEST_SENT: Duration = Duration::from_millis(4);
+/// Time to send a manifest of a hundred chunks, 3 KB, over 7.3 Mbit/s.
+const SEND_TIME: Duration = Duration::from_millis(4);
 
-/// Time after which the first in the order asks the origin again; the second takes twice as long, and
-/// so on. With a hundred loaders that makes ten requests a second of some kilobytes.
-const MANIFEST_AGAIN: Duration = Duration::from_millis(500);
+/// Pause after which the first-ranked loader retries the origin; the second waits twice as long, and so on. A hundred
+/// loaders together make ten requests a second of a few kilobytes.
+const ORIGIN_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// The manifest: from the origin for the first in the order that all rank alike, from loaders that
-/// have it for the rest. Each asks the origin itself when those before it have had time to, and the
-/// later it comes the more seldom, so that an origin that was away isn't swamped when it returns.
+/// Fetches the manifest; returns once it has arrived. The lower a loader ranks, the less often it retries the
+/// origin, which would otherwise be overloaded when it recovers.
 pub(crate) async fn manifest(cx: &Cx, origin: &OriginVersion, client: &Client) -> Manifest {
-    let begun = clock::now();
-    let mut drawn_at = None;
+    let started = clock::now();
+    let mut origin_tried = None;
     loop {
-        let before = before(cx, origin);
-        let turn = MANIFEST_TURN * before.len() as u32;
-        let again = MANIFEST_AGAIN * (before.len() as u32 + 1);
-        let is_turn = match drawn_at {
-            None => clock::since(begun) >= turn,
-            Some(at) => clock::now() >= at + again,
+        let preceding = preceding(cx, origin);
+        let delay = TIME_PER_RANK * preceding.len() as u32;
+        let retry_pause = ORIGIN_RETRY_PAUSE * (preceding.len() as u32 + 1);
+        let from_origin = match origin_tried {
+            None => clock::since(started) >= delay,
+            Some(at) => clock::now() >= at + retry_pause,
         };
-        let asked = match is_turn {
+        let fetched = match from_origin {
             true => {
-                drawn_at = Some(clock::now());
+                origin_tried = Some(clock::now());
                 (cx.api.manifest)(origin.clone()).await
             }
             false => {
-                let holders = manifest_holders(cx, origin, &before);
-                spread(loaders(cx).len(), holders.len()).await;
+                let holders = manifest_holders(cx, origin, &preceding);
+                jitter(loaders(cx).len(), holders.len()).await;
                 let from = holders.choose(&mut rand::rng()).copied();
-                ask_manifest(client, from.unwrap_or(cx.cfg.chunks), origin).await
+                fetch_manifest(client, from.unwrap_or(cx.cfg.chunks), origin).await
             }
         };
-        match asked {
+        match fetched {
             Ok(manifest) => {
-                info!(target: PART, "{PART}: event=manifest version={} took={:?}", origin.version, clock::since(begun));
+                info!(target: PART, "{PART}: event=manifest version={} took={:?}", origin.version, clock::since(started));
                 return manifest;
             }
             Err(e) => {
                 debug!(target: PART, "{PART}: event=no_manifest version={} why=\"{e}\"", origin.version);
-                let more = rand::rng().random_range(0.0..1.0);
-                tokio::time::sleep(MANIFEST_PAUSE.mul_f64(0.5 + more)).await;
+                let random = rand::rng().random_range(0.0..1.0);
+                tokio::time::sleep(RETRY_PAUSE.mul_f64(0.5 + random)).await;
             }
         }
     }
 }
 
-/// Waits for a while at random, so that the loaders which all want a manifest don't ask the few that
-/// have it at the same moment: each answer would come as late as the last.
-async fn spread(loaders: usize, holders: usize) {
+/// Waits for a random time, so that the loaders that need a manifest don't all request it from its few holders at
+/// once, which would delay every response to the time of the last.
+async fn jitter(loaders: usize, holders: usize) {
     let share = loaders as f64 / holders.max(1) as f64;
-    let more = rand::rng().random_range(0.0..1.0);
-    tokio::time::sleep(MANIFEST_SENT.mul_f64(share * more)).await;
+    let random = rand::rng().random_range(0.0..1.0);
+    tokio::time::sleep(SEND_TIME.mul_f64(share * random)).await;
 }
 
-/// Loaders that have a manifest, since they have told what they hold of its version; until any has,
-/// the first in the order.
-fn manifest_holders(cx: &Cx, origin: &OriginVersion, before: &[Member]) -> Vec<SocketAddr> {
+/// Returns the peer addresses of loaders that have the manifest, as they have announced chunks of its version; while
+/// there are none, those of the first-ranked loaders.
+fn manifest_holders(cx: &Cx, origin: &OriginVersion, preceding: &[Member]) -> Vec<SocketAddr> {
     let peers = cx.peers.lock().unwrap_or_else(PoisonError::into_inner);
-    let heard = peers.heard(&origin.model, origin.version, 0, None);
-    match heard.is_empty() {
-        true => before
+    let announced = peers.announced(&origin.model, origin.version, 0, None);
+    match announced.is_empty() {
+        true => preceding
             .iter()
-            .take(MANIFEST_HOLDERS)
+            .take(DEFAULT_HOLDERS)
             .map(|m| m.peer_addr)
             .collect(),
-        false => heard.into_keys().collect(),
+        false => announced.into_keys().collect(),
     }
 }
 
-/// Loaders that come before this one in the order in which the origin is asked.
-fn before(cx: &Cx, origin: &OriginVersion) -> Vec<Member> {
+/// Returns the loaders that rank before this one.
+fn preceding(cx: &Cx, origin: &OriginVersion) -> Vec<Member> {
     let key = origin.version.to_le_bytes();
     let own = rank(&key, &cx.cfg.node.vm);
-    let mut before: Vec<_> = loaders(cx)
+    let mut preceding: Vec<_> = loaders(cx)
         .into_iter()
         .map(|m| (rank(&key, &m.vm), m))
         .filter(|(rank, _)| *rank < own)
         .collect();
-    before.sort_by_key(|(rank, _)| *rank);
-    before.into_iter().map(|(_, m)| m).collect()
+    preceding.sort_by_key(|(rank, _)| *rank);
+    preceding.into_iter().map(|(_, m)| m).collect()
 }
--- a/crates/loader/src/rollout.rs
+++ b/crates/loader/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Keeps the engine on the newest version that was released.
+//! Keeps the engine on the newest released version.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, PoisonError};
@@ -13,101 +13,101 @@
 
 use crate::Cx;
 use crate::api::{ApiError, EngineState, OrderResult, OriginVersion, SwitchOrder};
+use crate::chunk_set::ChunkSet;
 use crate::fetch::fetch;
 use crate::manifest::manifest;
-use crate::peers::{BYTES_PER_MBIT, Reach, announce, loaders};
-use crate::sets::Set;
-use crate::stage::{lay_out, read_again, read_back};
-use crate::turn::{Coming, begins, can_skip, is_kept, last_turn};
+use crate::peers::{BYTES_PER_MBIT, Scope, announce, loaders};
+use crate::slot::{PendingVersion, can_skip, last_slot_start, should_complete, slot_start};
+use crate::stage::{read_back, stage, verify};
 
 /// Log prefix of this part.
 const PART: &str = "rollout";
 
-/// Time between two looks at what is to be done.
+/// Interval of checks for the next step.
 const TICK: Duration = Duration::from_millis(100);
 
-/// The same while nothing is: the engine holds the newest version, and whatever changes that is told of.
-const SETTLED_TICK: Duration = Duration::from_millis(1000);
+/// Interval while the engine holds the newest version; changes wake the loop earlier.
+const IDLE_TICK: Duration = Duration::from_millis(1000);
 
-/// Time between telling gateways that the engine leaves service and the order, in which the chunks are
-/// laid out too. Requests that have not begun by then wait until the engine has the new weights, or,
-/// should it freeze, begin on the old ones when it wakes. It costs nothing: the engine ends what runs
-/// all the while, which takes longer.
+/// Time from publishing that the engine leaves service to the switch order; chunks are staged meanwhile. Requests that
+/// haven't started by then wait until the engine has the new weights or, if it freezes, start on the old ones when
+/// it resumes. The notice doesn't delay the switch, since the engine completes running requests meanwhile, which
+/// takes longer.
 const LEAVE_NOTICE: Duration = Duration::from_millis(200);
 
-/// Change of an engine's turn that gateways aren't told.
+/// Shift of an engine's slot that isn't published to gateways.
 const PLAN_SLACK: Duration = Duration::from_millis(100);
 
-/// Pause before an engine is asked again for what lies there.
+/// Pause before reading back from an engine is retried.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(100);
 
-/// Time given to an order's effect before it is given again.
-const ORDER_TIME: Duration = Duration::from_secs(4);
+/// Time for an order to take effect before it is repeated.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A version that is being brought.
-struct Fetching {
+/// Fetch of the newest version.
+struct CurrentFetch {
     version: WeightsVersion,
     task: JoinHandle<()>,
-    /// Older versions that may still be on their way; given up when this one can be brought.
-    older: Vec<Older>,
+    /// Fetches of older versions that may still be running; aborted when this version can be fetched.
+    older: Vec<OlderFetch>,
 }
 
-/// An older version that may still be on its way.
+/// Fetch of an older version that may still be running.
 #[derive(Debug, Clone)]
-struct Older {
+struct OlderFetch {
     version: WeightsVersion,
     task: AbortHandle,
 }
 
-/// An order that was given.
+/// An order that may not have taken effect yet.
 #[derive(Debug, Clone, Copy)]
-struct Ordered {
+struct PendingOrder {
     version: WeightsVersion,
     at: Instant,
 }
 
-/// What one engine is kept on.
-struct Keeper {
+/// Rollouts to one engine.
+struct Rollout {
     cx: Arc<Cx>,
     client: Client,
     state: watch::Receiver<Option<EngineState>>,
-    fetching: Map<Model, Fetching>,
-    ordered: Option<Ordered>,
-    /// State that the engine was last seen in.
-    seen: Option<EngineState>,
+    fetches: Map<Model, CurrentFetch>,
+    pending_order: Option<PendingOrder>,
+    /// Last known state of the engine.
+    last_state: Option<EngineState>,
 }
 
-/// Keeps the engine on what is released, until the process ends.
-pub(crate) async fn keep(cx: Arc<Cx>, state: watch::Receiver<Option<EngineState>>) {
+/// Rolls out released versions to the engine, until the process ends.
+pub(crate) async fn roll_out(cx: Arc<Cx>, state: watch::Receiver<Option<EngineState>>) {
     let client = Client::new(Dial::within(cx.cfg.chunk_timeout));
     let mut known = cx.known.subscribe();
     let mut configured = cx.catalog.clone();
-    let mut keeper = Keeper {
+    let mut rollout = Rollout {
         cx,
         client,
         state,
-        fetching: Map::default(),
-        ordered: None,
-        seen: None,
+        fetches: Map::default(),
+        pending_order: None,
+        last_state: None,
     };
     loop {
         known.borrow_and_update();
         configured.borrow_and_update();
-        let catalog = keeper.cx.catalog.borrow().clone();
+        let catalog = rollout.cx.catalog.borrow().clone();
         if let Some(catalog) = catalog {
-            keeper.step(&catalog).await;
+            rollout.step(&catalog).await;
         }
         tokio::select! {
-            _ = tokio::time::sleep(keeper.tick()) => {}
-            // An engine that has taken its weights is back in service at once.
-            changed = keeper.state.changed() => if changed.is_err() { return },
+            _ = tokio::time::sleep(rollout.tick()) => {}
+            // Puts an engine that has loaded its weights back into service without delay.
+            changed = rollout.state.changed() => if changed.is_err() { return },
             changed = known.changed() => if changed.is_err() { return },
             changed = configured.changed() => if changed.is_err() { return },
         }
     }
 }
 
-impl Keeper {
+impl Rollout {
     async fn step(&mut self, catalog: &Catalog) {
         for model in catalog.models(&self.cx.service) {
             let version = self.cx.known.borrow().version(model);
@@ -116,39 +116,39 @@
         }
     }
 
-    /// Time until the next look.
+    /// Returns the time until the next check.
     fn tick(&self) -> Duration {
-        let brought = self.fetching.values().all(|f| f.task.is_finished());
-        let holds = |(model, fetching): (&Model, &Fetching)| {
+        let is_fetched = self.fetches.values().all(|f| f.task.is_finished());
+        let holds = |(model, current): (&Model, &CurrentFetch)| {
             let state = self.state.borrow();
             let held = state.iter().flat_map(|s| &s.holdings);
             let mut of_model = held.filter(|h| h.model == *model);
-            of_model.any(|h| h.version >= Some(fetching.version))
+            of_model.any(|h| h.version >= Some(current.version))
         };
-        match brought && !self.fetching.is_empty() && self.fetching.iter().all(holds) {
-            true => SETTLED_TICK,
+        match is_fetched && !self.fetches.is_empty() && self.fetches.iter().all(holds) {
+            true => IDLE_TICK,
             false => TICK,
         }
     }
 
-    /// When a version became known.
+    /// Returns when a version became known.
     fn since(&self, model: &Model, version: WeightsVersion) -> Option<Instant> {
         let known = self.cx.known.borrow();
         known.since.get(&(model.clone(), version)).copied()
     }
 
-    /// Begins to bring a version. One that is on its way already is brought to its end first, unless
-    /// the newer one can replace it in time.
+    /// Starts the fetch of a version. A fetch in progress is completed first, unless the newer version can replace it
+    /// in time.
     fn fetch(&mut self, catalog: &Catalog, model: &Model, version: WeightsVersion) {
         let mut older = Vec::new();
-        if let Some(current) = self.fetching.get(model) {
+        if let Some(current) = self.fetches.get(model) {
             let done = current.task.is_finished();
             if current.version >= version || !(done || self.can_skip(model, current.version)) {
                 return;
             }
             info!(target: PART, "{PART}: event=left version={} done={done} for={version}", current.version);
             older.extend(current.older.iter().cloned());
-            older.push(Older {
+            older.push(OlderFetch {
                 version: current.version,
                 task: current.task.abort_handle(),
             });
@@ -163,52 +163,59 @@
         };
         info!(target: PART, "{PART}: event=wanted model={model} version={version}");
         let client = self.client.clone();
-        let task = tokio::spawn(bring(self.cx.clone(), origin, client, older.clone()));
-        let fetching = Fetching {
+        let task = tokio::spawn(fetch_version(
+            self.cx.clone(),
+            origin,
+            client,
+            older.clone(),
+        ));
+        let current = CurrentFetch {
             version,
             task,
             older,
         };
-        self.fetching.insert(model.clone(), fetching);
+        self.fetches.insert(model.clone(), current);
     }
 
-    /// Whether a newer version can be everywhere before the bound of one that is left out. Without
-    /// that, engines would hold nothing that may begin requests for a while.
+    /// Returns whether a newer version can be on all engines before the bound of a version that is skipped. Otherwise
+    /// engines would hold no version that may start requests for a while.
     fn can_skip(&self, model: &Model, version: WeightsVersion) -> bool {
         let bound = self.cx.cfg.node.version_time;
         let since = self.since(model, version);
         since.is_none_or(|at| can_skip(clock::since(at), bound))
     }
 
-    /// Has the engine take the newest version that is here whole, when its turn has come.
+    /// Switches the engine to the newest complete version once its slot has come.
     async fn switch(&mut self, model: &Model) {
         let Some(state) = self.state.borrow().clone() else {
             return;
         };
-        self.see(&state);
+        self.detect_restart(&state);
         let held = state.holdings.iter().find(|h| h.model == *model);
         let held = held.and_then(|h| h.version);
-        let set = self.cx.sets.newest_whole(model);
+        let set = self.cx.sets.newest_complete(model);
         let wanted = set.filter(|set| held < Some(set.version));
-        let wanted = wanted.filter(|set| held.is_none() || !self.waits_for_newer(set));
-        // An engine that has just taken a version and stands idle takes a newer one at once.
-        let idle = state.running == 0 && self.cx.leaving.load(Ordering::Relaxed);
+        let wanted = wanted.filter(|set| held.is_none() || !self.should_wait_for_newer(set));
+        // An engine that has just switched and is still idle switches to a newer version at once.
+        let is_idle = state.running == 0 && self.cx.leaving.load(Ordering::Relaxed);
         let next = wanted.as_ref().map(|set| set.version);
         self.plan(model, held, next);
-        match self.ordered {
-            Some(ordered) if held >= Some(ordered.version) => {
-                self.ordered = None;
+        match self.pending_order {
+            Some(pending) if held >= Some(pending.version) => {
+                self.pending_order = None;
                 self.cx
                     .leaving
-                    .store(wanted.is_some() && idle, Ordering::Relaxed);
-                self.cx.look.notify_one();
+                    .store(wanted.is_some() && is_idle, Ordering::Relaxed);
+                self.cx.poll_engine.notify_one();
             }
-            Some(ordered) if clock::since(ordered.at) < ORDER_TIME => return,
+            Some(pending) if clock::since(pending.at) < ORDER_TIMEOUT => return,
             _ => {}
         }
         match wanted {
             Some(set)
-                if idle || held.is_none() || clock::now() >= self.turn(&set.model, set.version) =>
+                if is_idle
+                    || held.is_none()
+                    || clock::now() >= self.slot(&set.model, set.version) =>
             {
                 self.order(&set, held.is_some()).await;
             }
@@ -216,20 +223,20 @@
         }
     }
 
-    /// Forgets the order of an engine's former life: one that started again has not taken it, and waiting for
-    /// its effect would leave it without weights for [`ORDER_TIME`].
-    fn see(&mut self, state: &EngineState) {
-        let before = self.seen.replace(state.clone());
+    /// Drops a pending order if the engine has restarted: the new incarnation hasn't received it, and waiting for its
+    /// effect would leave the engine without weights for [`ORDER_TIMEOUT`].
+    fn detect_restart(&mut self, state: &EngineState) {
+        let before = self.last_state.replace(state.clone());
         if before.is_some_and(|before| state.is_new_incarnation(&before)) {
             info!(target: PART, "{PART}: event=started_again born={:?} orders={} holdings={:?}", state.start_time, state.orders, state.holdings);
-            self.ordered = None;
+            self.pending_order = None;
             self.cx.leaving.store(false, Ordering::Relaxed);
         }
     }
 
-    /// Whether an engine that serves had better wait for a newer version than one that is here whole.
-    fn waits_for_newer(&self, older: &Set) -> bool {
-        let newer = self.fetching.get(&older.model).map(|f| f.version);
+    /// Returns whether a serving engine should wait for a newer version instead of switching to a complete older one.
+    fn should_wait_for_newer(&self, older: &ChunkSet) -> bool {
+        let newer = self.fetches.get(&older.model).map(|f| f.version);
         let Some(newer) = newer.filter(|version| *version > older.version) else {
             return false;
         };
@@ -241,20 +248,21 @@
             return false;
         };
         let set = self.cx.sets.get(&older.model, newer);
-        let coming = Coming {
+        let pending = PendingVersion {
             missing: set.as_ref().map_or(older.len(), |s| s.missing()),
             chunk_time: chunk_time(&self.cx, older),
-            stood_still: set.map_or_else(|| clock::since(since), |s| s.stood_still()),
+            stalled_for: set.map_or_else(|| clock::since(since), |s| s.stalled_for()),
             since,
         };
-        let (needed, over) = (last_turn(older_since, bound), older_since + bound);
-        !coming.is_too_late(needed, over, bound, clock::now())
+        let (needed, expired) = (last_slot_start(older_since, bound), older_since + bound);
+        !pending.is_too_late(needed, expired, bound, clock::now())
     }
 
-    fn turn(&self, model: &Model, version: WeightsVersion) -> Instant {
+    /// Returns the start of the engine's slot for a version.
+    fn slot(&self, model: &Model, version: WeightsVersion) -> Instant {
         let others: Vec<VmId> = loaders(&self.cx).into_iter().map(|m| m.vm).collect();
         let since = self.since(model, version);
-        begins(
+        slot_start(
             &self.cx.cfg.node.vm,
             &others,
             version,
@@ -263,35 +271,35 @@
         )
     }
 
-    /// Notes when an engine that serves is to leave service for the version that it takes next, or that
-    /// is being brought, so that gateways are told before.
+    /// Records when a serving engine will leave service for its next version, complete or still being fetched, so that
+    /// gateways are notified beforehand.
     fn plan(&self, model: &Model, held: Option<WeightsVersion>, next: Option<WeightsVersion>) {
-        let coming = self.fetching.get(model).map(|f| f.version);
-        let coming = next.or(coming);
-        let coming = coming.filter(|version| held.is_some_and(|held| held < *version));
-        let turn = coming.map(|version| self.turn(model, version));
+        let upcoming = self.fetches.get(model).map(|f| f.version);
+        let upcoming = next.or(upcoming);
+        let upcoming = upcoming.filter(|version| held.is_some_and(|held| held < *version));
+        let slot = upcoming.map(|version| self.slot(model, version));
         let mut leaves_at = self
             .cx
             .leaves_at
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        // Turns move by a little as loaders come and go; that is no news.
+        // Slots shift slightly as loaders join and leave, which isn't published.
         let same =
-            |at: Instant, turn: Instant| at.max(turn).duration_since(at.min(turn)) < PLAN_SLACK;
-        *leaves_at = match (*leaves_at, turn) {
-            (Some(at), Some(turn)) if same(at, turn) => Some(at),
-            (_, turn) => turn,
+            |at: Instant, slot: Instant| at.max(slot).duration_since(at.min(slot)) < PLAN_SLACK;
+        *leaves_at = match (*leaves_at, slot) {
+            (Some(at), Some(slot)) if same(at, slot) => Some(at),
+            (_, slot) => slot,
         };
     }
 
-    /// Lays a version out and has the engine take it; one that `serves` gets notice.
-    async fn order(&mut self, set: &Set, serves: bool) {
+    /// Stages a version and orders the engine to switch to it, with notice to gateways if the engine `serves`.
+    async fn order(&mut self, set: &ChunkSet, serves: bool) {
         let version = set.version;
-        self.ordered = Some(Ordered {
+        self.pending_order = Some(PendingOrder {
             version,
             at: clock::now(),
         });
-        match self.give(set, serves).await {
+        match self.stage_and_order(set, serves).await {
             Ok(OrderResult::Taken) => return,
             Ok(OrderResult::Conflict(status)) => {
                 warn!(target: PART, "{PART}: event=order_conflict version={version} status={status}");
@@ -300,45 +308,45 @@
                 warn!(target: PART, "{PART}: event=order_failed version={version} why=\"{e}\"");
             }
         }
-        self.ordered = None;
+        self.pending_order = None;
         self.cx.leaving.store(false, Ordering::Relaxed);
-        self.cx.look.notify_one();
+        self.cx.poll_engine.notify_one();
     }
 
-    async fn give(&self, set: &Set, serves: bool) -> Result<OrderResult, ApiError> {
+    async fn stage_and_order(&self, set: &ChunkSet, serves: bool) -> Result<OrderResult, ApiError> {
         self.cx.leaving.store(true, Ordering::Relaxed);
-        self.cx.look.notify_one();
+        self.cx.poll_engine.notify_one();
         let notice = match serves {
             true => LEAVE_NOTICE,
             false => Duration::ZERO,
         };
-        let (_, laid_out) = tokio::join!(tokio::time::sleep(notice), lay_out(&self.cx, set));
-        laid_out?;
-        read_again(&self.cx, set).await?;
+        let (_, staged) = tokio::join!(tokio::time::sleep(notice), stage(&self.cx, set));
+        staged?;
+        verify(&self.cx, set).await?;
         let state = (self.cx.api.state)(()).await?;
-        let start = SwitchOrder {
+        let switch_order = SwitchOrder {
             model: set.model.clone(),
             version: set.version,
             orders: state.orders,
         };
-        let started = (self.cx.api.start)(start).await?;
-        info!(target: PART, "{PART}: event=ordered model={} version={} orders={} result={started:?}", set.model, set.version, state.orders);
-        self.cx.look.notify_one();
-        Ok(started)
+        let result = (self.cx.api.start)(switch_order).await?;
+        info!(target: PART, "{PART}: event=ordered model={} version={} orders={} result={result:?}", set.model, set.version, state.orders);
+        self.cx.poll_engine.notify_one();
+        Ok(result)
     }
 }
 
-/// Brings a version: what lies at the engine, and beside it the rest from others. Older versions that are
-/// on their way are given up once its manifest is here, or, where they are nearly here, once it is whole:
-/// while the origin is away they may still come from other loaders, and this one can't.
-async fn bring(cx: Arc<Cx>, origin: OriginVersion, client: Client, older: Vec<Older>) {
+/// Fetches a version: reads back chunks that are staged at the engine and fetches the others meanwhile. Fetches of older
+/// versions are aborted once the manifest has arrived or, if they are almost complete, once this version is
+/// complete: while the origin is unreachable, other loaders may still provide them, but not this version.
+async fn fetch_version(cx: Arc<Cx>, origin: OriginVersion, client: Client, older: Vec<OlderFetch>) {
     let manifest = manifest(&cx, &origin, &client).await;
-    let kept = give_up(&cx, &origin.model, older);
-    let set = Set::new(origin.model.clone(), origin.version, manifest);
+    let kept = abort_older(&cx, &origin.model, older);
+    let set = ChunkSet::new(origin.model.clone(), origin.version, manifest);
     let set = cx.sets.add(set);
-    // Ends with this task.
+    // Aborts the read-back when this task ends.
     let mut reading = JoinSet::new();
-    match origin.version == FIRST_VERSION || cx.sets.newest_whole(&origin.model).is_none() {
+    match origin.version == FIRST_VERSION || cx.sets.newest_complete(&origin.model).is_none() {
         true => {
             reading.spawn(read_back_when_up(cx.clone(), set.clone()));
         }
@@ -348,23 +356,23 @@
     kept.iter().for_each(AbortHandle::abort);
 }
 
-/// Reads back what lies at the engine, as soon as it can be reached.
-async fn read_back_when_up(cx: Arc<Cx>, set: Arc<Set>) {
-    let begun = clock::now();
-    let mut failed = None;
+/// Reads back the chunks staged at the engine as soon as it can be reached.
+async fn read_back_when_up(cx: Arc<Cx>, set: Arc<ChunkSet>) {
+    let started = clock::now();
+    let mut last_error = None;
     loop {
         match read_back(&cx, &set).await {
             Ok(found) => {
-                info!(target: PART, "{PART}: event=read_back version={} chunks={found} took={:?}", set.version, clock::since(begun));
+                info!(target: PART, "{PART}: event=read_back version={} chunks={found} took={:?}", set.version, clock::since(started));
                 set.set_read_back();
-                announce(&cx, &set, false, Reach::NearAndSome);
+                announce(&cx, &set, false, Scope::NearAndSample);
                 return;
             }
             Err(e) => {
                 let why = e.to_string();
-                if failed.as_ref() != Some(&why) {
+                if last_error.as_ref() != Some(&why) {
                     warn!(target: PART, "{PART}: event=read_back_failed version={} why=\"{why}\"", set.version);
-                    failed = Some(why);
+                    last_error = Some(why);
                 }
                 tokio::time::sleep(READ_BACK_PAUSE).await;
             }
@@ -372,24 +380,24 @@
     }
 }
 
-/// Stops bringing older versions, but for those that are nearly here; returns what still brings these.
-fn give_up(cx: &Cx, model: &Model, older: Vec<Older>) -> Vec<AbortHandle> {
-    let mut brings = Vec::new();
-    for Older { version, task } in older {
+/// Aborts fetches of older versions except those that are almost complete; returns the handles of the latter.
+fn abort_older(cx: &Cx, model: &Model, older: Vec<OlderFetch>) -> Vec<AbortHandle> {
+    let mut running = Vec::new();
+    for OlderFetch { version, task } in older {
         let set = cx.sets.get(model, version);
-        let obtainable = set.map_or(0.0, |set| set.obtainable());
-        let kept = is_kept(obtainable);
-        info!(target: PART, "{PART}: event=older version={version} obtainable={obtainable:.2} kept={kept}");
-        match kept {
-            true => brings.push(task),
+        let available = set.map_or(0.0, |set| set.available_fraction());
+        let should_keep = should_complete(available);
+        info!(target: PART, "{PART}: event=older version={version} obtainable={available:.2} kept={should_keep}");
+        match should_keep {
+            true => running.push(task),
             false => task.abort(),
         }
     }
-    brings
+    running
 }
 
-/// Time in which the VM's link carries a chunk of a set.
-fn chunk_time(cx: &Cx, set: &Set) -> Duration {
+/// Returns the time in which the VM's link carries a chunk of a set.
+fn chunk_time(cx: &Cx, set: &ChunkSet) -> Duration {
     let bytes = set.get(0).map_or(0, |chunk| chunk.len());
     let rate = cx.cfg.link_mbps * BYTES_PER_MBIT;
     Duration::from_secs_f64(bytes as f64 / rate.max(1.0))
--- a/crates/loader/src/run.rs
+++ b/crates/loader/src/run.rs
@@ -1,4 +1,4 @@
-//! Tasks of a loader.
+//! Starts the tasks of a loader and dispatches datagrams.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -9,10 +9,10 @@
 use tokio::sync::{Notify, watch};
 use web::Bounds;
 
-use crate::peers::{Passing, Peers, answer, serve};
-use crate::rollout::keep;
-use crate::sets::Sets;
-use crate::tell::tell;
+use crate::chunk_set::ChunkSets;
+use crate::peers::{Peers, UploadLimits, reply, serve};
+use crate::rollout::roll_out;
+use crate::status::publish;
 use crate::window::Window;
 use crate::{Cx, Wiring};
 
@@ -32,19 +32,19 @@
         stop: wiring.stop,
         incarnation: base::unix_ms(),
         beacon,
-        sets: Sets::default(),
+        sets: ChunkSets::default(),
         window: Window::new(wiring.cfg.fetches as usize),
         peers: std::sync::Mutex::new(Peers::default()),
-        heard: Notify::new(),
-        look: Notify::new(),
+        announced: Notify::new(),
+        poll_engine: Notify::new(),
         leaving: AtomicBool::new(false),
         leaves_at: std::sync::Mutex::new(None),
         cfg: wiring.cfg,
     });
     info!(target: PART, "{PART}: event=started vm={} engine={} incarnation={}", cx.cfg.node.vm, cx.cfg.engine, cx.incarnation);
     let serving = cx.clone();
-    let passing = Arc::new(Passing::new(&cx.cfg));
-    let handler = move |req| serve(serving.clone(), passing.clone(), req);
+    let limits = Arc::new(UploadLimits::new(&cx.cfg));
+    let handler = move |req| serve(serving.clone(), limits.clone(), req);
     tokio::spawn(web::serve(
         listener,
         Bounds::internal(),
@@ -52,9 +52,9 @@
         handler,
     ));
     let (tx, rx) = watch::channel(None);
-    tokio::spawn(tell(cx.clone(), tx));
+    tokio::spawn(publish(cx.clone(), tx));
     tokio::spawn(listen(cx.clone()));
-    tokio::spawn(keep(cx.clone(), rx));
+    tokio::spawn(roll_out(cx.clone(), rx));
     let mut stop = cx.stop.clone();
     if stop.wait_for(|stopping| *stopping).await.is_err() {
         warn!(target: PART, "{PART}: event=signals_lost");
@@ -63,17 +63,17 @@
     Ok(())
 }
 
-/// Takes what other processes tell.
+/// Handles datagrams of other processes.
 async fn listen(cx: Arc<Cx>) {
     loop {
         match cx.beacon.recv().await {
             (Msg::Chunks(map), from) => {
                 if map.wants_reply {
-                    answer(&cx, &map, from);
+                    reply(&cx, &map, from);
                 }
                 let mut peers = cx.peers.lock().unwrap_or_else(|e| e.into_inner());
-                peers.take(map);
-                cx.heard.notify_one();
+                peers.record(map);
+                cx.announced.notify_one();
             }
             (Msg::Releases(list), from) => {
                 let revision = list.revision;
--- a/crates/loader/src/window.rs
+++ b/crates/loader/src/window.rs
@@ -1,37 +1,37 @@
-//! How many chunks a loader brings at once.
+//! Congestion window for chunk fetches.
 //!
-//! What has been asked for waits on the VM's link in front of whatever is sent to it next: a request to the
-//! engine, which then arrives seconds late, maybe after the version that it was sent to had to end. So all
-//! versions that are being brought share one window, and it narrows where chunks come slowly: the link
-//! carries less than it should, or other VMs do.
+//! Requested chunks queue on the VM's link ahead of whatever is sent to the VM next. A request to the engine would
+//! arrive seconds late behind them, possibly past the bound of the version that it was sent for. All versions
+//! that are being fetched therefore share one window, which shrinks if chunks arrive slowly because this VM's
+//! link, or those of other VMs, carry less than they should.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Time of one chunk from which on fewer are brought at once: a request to the engine waits about as long
-/// behind them.
+/// Latency of a chunk above which the window shrinks; a request to the engine waits about as long behind the
+/// chunks in flight.
 const SLOW: Duration = Duration::from_millis(350);
 
-/// What each chunk that comes sooner adds to how many are brought at once.
-const WIDEN: f64 = 0.25;
+/// Increase of the window for each chunk that is faster.
+const INCREASE: f64 = 0.25;
 
 #[derive(Debug)]
 struct State {
-    most: f64,
-    at_once: f64,
+    max: f64,
+    limit: f64,
     in_flight: usize,
 }
 
-/// Chunks that are brought at once, of all versions together.
+/// Limit on concurrent chunk fetches, shared by all versions.
 #[derive(Debug, Clone)]
 pub struct Window(Arc<Mutex<State>>);
 
 impl Window {
-    /// A window of `most` chunks at first and at most.
-    pub fn new(most: usize) -> Window {
+    /// Creates a window with `max` chunks as its initial and maximum size.
+    pub fn new(max: usize) -> Window {
         Window(Arc::new(Mutex::new(State {
-            most: most as f64,
-            at_once: most as f64,
+            max: max as f64,
+            limit: max as f64,
             in_flight: 0,
         })))
     }
@@ -40,30 +40,30 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether another chunk may be asked for by one who waits for `own` already. Who waits for none always
-    /// may, so that no version waits for another to be whole.
-    pub fn has_room(&self, own: usize) -> bool {
+    /// Returns whether a version with `own` chunks in flight may request another. A version with none always may,
+    /// so that no version has to wait for another to be complete.
+    pub fn has_capacity(&self, own: usize) -> bool {
         let state = self.state();
-        own == 0 || state.in_flight < state.at_once as usize
+        own == 0 || state.in_flight < state.limit as usize
     }
 
-    /// Counts a chunk as asked for until it is dropped.
+    /// Counts a chunk as in flight until the guard is dropped.
     pub fn begin(&self) -> InFlight {
         self.state().in_flight += 1;
         InFlight(self.clone())
     }
 
-    /// Takes how long a chunk took, or to find out that it doesn't come.
-    pub fn took(&self, time: Duration) {
+    /// Records the time until a chunk arrived or failed, and adapts the window.
+    pub fn record_latency(&self, elapsed: Duration) {
         let mut state = self.state();
-        state.at_once = match time > SLOW {
-            true => (state.at_once / 2.0).max(1.0),
-            false => (state.at_once + WIDEN).min(state.most),
+        state.limit = match elapsed > SLOW {
+            true => (state.limit / 2.0).max(1.0),
+            false => (state.limit + INCREASE).min(state.max),
         };
     }
 }
 
-/// A chunk that was asked for.
+/// Guard of a chunk in flight.
 #[derive(Debug)]
 pub struct InFlight(Window);
 
--- /dev/null
+++ b/crates/loader/tests/schedule.rs
@@ -0,0 +1,35 @@
+//! Schedule of chunk fetches from the origin.
+
+use std::time::{Duration, Instant};
+
+use loader::schedule::OriginSchedule;
+
+const CHUNK_TIME: Duration = Duration::from_millis(27);
+
+/// Returns the chunks that are due some time after the start.
+fn due(held: &[bool], after: Duration) -> Vec<usize> {
+    let started = Instant::now();
+    let schedule = OriginSchedule::new(CHUNK_TIME, held, started);
+    let is_due = |i: &usize| schedule.is_due(*i, started + after);
+    (0..held.len()).filter(is_due).collect()
+}
+
+#[test]
+fn chunks_are_scheduled_sequentially() {
+    let none = [false; 4];
+
+    assert_eq!(due(&none, Duration::ZERO), [0]);
+    assert_eq!(due(&none, CHUNK_TIME), [0, 1]);
+    assert_eq!(due(&none, CHUNK_TIME * 3), [0, 1, 2, 3]);
+}
+
+#[test]
+fn held_chunks_take_no_time_of_the_schedule() {
+    let held = [true, false, true, true, false, false];
+
+    let first = due(&held, Duration::ZERO);
+    let next = due(&held, CHUNK_TIME);
+
+    assert_eq!(first.iter().filter(|i| !held[**i]).count(), 1);
+    assert_eq!(next.iter().filter(|i| !held[**i]).count(), 2);
+}
--- a/crates/loader/tests/window.rs
+++ b/crates/loader/tests/window.rs
@@ -1,4 +1,4 @@
-//! How long a request waits on a VM's link behind chunks that its loader asked for.
+//! Queueing of requests on a VM's link behind chunks in flight.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,16 +7,18 @@
 
 const FETCHES: usize = 6;
 const CHUNK_BITS: f64 = 32_768.0 * 8.0;
-const WIDE: f64 = 7_600_000.0;
-const NARROW: f64 = 910_000.0;
+/// Rate of a fast link, in bits per second.
+const FAST: f64 = 7_600_000.0;
+/// Rate of a slow link, in bits per second.
+const SLOW: f64 = 910_000.0;
 
-/// A link that carries chunks one after the other, of several versions.
+/// A link that carries chunks of several versions sequentially.
 struct Link {
     window: Window,
-    /// Bits a second.
+    /// Bits per second.
     rate: f64,
     now: Duration,
-    /// Chunks on their way: the version, and when each was asked for.
+    /// Chunks in flight: the version and the time of the request.
     queue: VecDeque<(usize, Duration, InFlight)>,
 }
 
@@ -34,39 +36,39 @@
         Duration::from_secs_f64(CHUNK_BITS / self.rate)
     }
 
-    /// Asks for as many chunks of each version as there is room for.
-    fn ask(&mut self, versions: usize) {
+    /// Requests as many chunks of each version as the window permits.
+    fn request(&mut self, versions: usize) {
         for version in 0..versions {
             let own = |queue: &VecDeque<(usize, Duration, InFlight)>| {
                 queue.iter().filter(|(v, ..)| *v == version).count()
             };
-            while self.window.has_room(own(&self.queue)) {
-                let begun = (version, self.now, self.window.begin());
-                self.queue.push_back(begun);
+            while self.window.has_capacity(own(&self.queue)) {
+                let chunk = (version, self.now, self.window.begin());
+                self.queue.push_back(chunk);
             }
         }
     }
 
-    /// Carries chunks of so many versions, and tells how long a request waited behind them at most.
+    /// Carries chunks of some versions; returns the longest time that a request would have been queued behind them.
     fn carry(&mut self, versions: usize, chunks: usize) -> Duration {
         let mut longest = Duration::ZERO;
         for _ in 0..chunks {
-            self.ask(versions);
+            self.request(versions);
             longest = longest.max(self.chunk_time() * self.queue.len() as u32);
             self.now += self.chunk_time();
-            let Some((_, asked, in_flight)) = self.queue.pop_front() else {
+            let Some((_, requested, in_flight)) = self.queue.pop_front() else {
                 continue;
             };
             drop(in_flight);
-            self.window.took(self.now - asked);
+            self.window.record_latency(self.now - requested);
         }
         longest
     }
 }
 
 #[test]
-fn a_link_as_wide_as_it_should_be_is_filled() {
-    let mut link = Link::new(WIDE);
+fn window_fills_a_fast_link() {
+    let mut link = Link::new(FAST);
 
     link.carry(1, 100);
 
@@ -74,8 +76,8 @@
 }
 
 #[test]
-fn on_a_narrow_link_a_request_waits_behind_two_chunks_at_most() {
-    let mut link = Link::new(NARROW);
+fn request_queues_behind_at_most_two_chunks_on_a_slow_link() {
+    let mut link = Link::new(SLOW);
     link.carry(1, 2 * FETCHES);
 
     let waited = link.carry(1, 50);
@@ -84,23 +86,23 @@
 }
 
 #[test]
-fn it_waits_no_longer_when_another_version_is_brought_too() {
-    let mut link = Link::new(NARROW);
+fn versions_share_the_window() {
+    let mut link = Link::new(SLOW);
     link.carry(1, 2 * FETCHES);
 
     let waited = link.carry(2, 50);
 
-    // One of each version, and one that the window has widened for.
+    // One chunk of each version, and one for which the window has grown.
     assert!(waited <= 3 * link.chunk_time(), "{waited:?}");
 }
 
 #[test]
-fn each_version_comes_on() {
-    let mut link = Link::new(NARROW);
+fn every_version_makes_progress() {
+    let mut link = Link::new(SLOW);
 
     for _ in 0..20 {
         link.carry(2, 1);
-        link.ask(2);
+        link.request(2);
         let versions = link.queue.iter().map(|(version, ..)| *version);
         let mut versions: Vec<_> = versions.collect();
         versions.sort_unstable();
@@ -110,12 +112,12 @@
 }
 
 #[test]
-fn what_is_given_up_makes_room() {
+fn dropped_guard_frees_capacity() {
     let window = Window::new(1);
-    let asked = window.begin();
-    assert!(!window.has_room(1));
+    let guard = window.begin();
+    assert!(!window.has_capacity(1));
 
-    drop(asked);
+    drop(guard);
 
-    assert!(window.has_room(1));
+    assert!(window.has_capacity(1));
 }
