--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,8 +1,8 @@
-//! Requests waiting for a slot.
+//! Queues requests until a slot at an upstream is free.
 //!
-//! A request waits until an upstream has room, in the order of [`decide::queue`]. One that can't be served
-//! within its objective is refused early, so that its caller can come back while that still helps; where
-//! there is no upstream at all, or none may be sent a request before then, at once.
+//! A request is queued until an upstream has free capacity, in the order of [`decide::queue`]. A request that can't be
+//! served within its objective is refused early, so that its caller can retry while that still helps. If there is no
+//! upstream at all, or none may be sent a request in time, it is refused at once.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -21,19 +21,19 @@
 use crate::request::RoutedRequest;
 use crate::upstream::{Slot, SlotNotifier, Upstream};
 
-/// A waiting request looks again after this long even if nothing was freed here: a slot may have
-/// been freed by another gateway, whose note takes up to 25 ms.
-const RECHECK: Duration = Duration::from_millis(10);
+/// Interval at which a queued request checks for a slot even if none was freed here: another gateway may have freed
+/// one, and its load update takes up to 25 ms.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Requests waiting for a slot.
+/// Queues of requests, by service.
 #[derive(Debug, Default)]
 pub struct Admission {
-    lines: Mutex<Map<ServiceName, Queue>>,
-    freed: Arc<Notify>,
-    changed: Arc<Notify>,
+    queues: Mutex<Map<ServiceName, Queue>>,
+    slot_freed: Arc<Notify>,
+    load_changed: Arc<Notify>,
 }
 
-/// A place in the line, given up when dropped.
+/// Queue entry of a request, removed when dropped.
 struct QueueGuard<'a> {
     admission: &'a Admission,
     service: &'a ServiceName,
@@ -42,79 +42,79 @@
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        if let Some(line) = self.admission.lines().get_mut(self.service) {
-            line.remove(&self.ticket);
+        if let Some(queue) = self.admission.queues().get_mut(self.service) {
+            queue.remove(&self.ticket);
         }
     }
 }
 
 impl Admission {
-    fn lines(&self) -> MutexGuard<'_, Map<ServiceName, Queue>> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    fn queues(&self) -> MutexGuard<'_, Map<ServiceName, Queue>> {
+        self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// SlotNotifier when a slot is freed.
+    /// Returns the notifier of freed slots.
     pub fn slot_freed(&self) -> Arc<Notify> {
-        self.freed.clone()
+        self.slot_freed.clone()
     }
 
-    /// Waits until what is in flight has changed.
+    /// Waits until the requests in flight have changed.
     pub async fn load_changed(&self) {
-        self.changed.notified().await;
+        self.load_changed.notified().await;
     }
 
-    /// What a slot tells of its beginning and its end.
+    /// Returns the notifier for a new slot.
     pub fn notifier(&self) -> SlotNotifier {
         SlotNotifier {
-            slot_freed: self.freed.clone(),
-            load_changed: self.changed.clone(),
+            slot_freed: self.slot_freed.clone(),
+            load_changed: self.load_changed.clone(),
         }
     }
 
-    fn enter<'a>(&'a self, service: &'a ServiceName, job: &RoutedRequest) -> QueueGuard<'a> {
-        let mut lines = self.lines();
-        let line = lines.entry(service.clone()).or_default();
+    fn enqueue<'a>(&'a self, service: &'a ServiceName, req: &RoutedRequest) -> QueueGuard<'a> {
+        let mut queues = self.queues();
+        let queue = queues.entry(service.clone()).or_default();
         QueueGuard {
             admission: self,
             service,
-            ticket: line.enqueue(job.deadline_class, job.priority()),
+            ticket: queue.enqueue(req.deadline_class, req.priority()),
         }
     }
 
-    fn is_first(&self, guard: &QueueGuard<'_>) -> bool {
-        let lines = self.lines();
-        let line = lines.get(guard.service);
-        line.is_some_and(|line| line.is_first(&guard.ticket))
+    fn is_next(&self, guard: &QueueGuard<'_>) -> bool {
+        let queues = self.queues();
+        let queue = queues.get(guard.service);
+        queue.is_some_and(|queue| queue.is_first(&guard.ticket))
     }
 }
 
-/// Until when a request that just arrived may wait.
-pub fn wait_until(job: &RoutedRequest) -> Instant {
-    (job.arrived + max_wait(job.route.objective)).min(job.deadline)
+/// Returns until when a request that has just arrived may be queued.
+pub fn queue_deadline(req: &RoutedRequest) -> Instant {
+    (req.arrived + max_wait(req.route.objective)).min(req.deadline)
 }
 
-/// Waits until `until` for a slot at an upstream that isn't among `tried`; `care` says that the request is a
-/// suspect, and how far it is kept from others.
-pub async fn slot(
+/// Waits until `until` for a slot at an upstream that isn't among `tried`. `isolation` is set for a suspect, and
+/// states whether it must be kept apart from other suspects.
+pub async fn acquire_slot(
     cx: &Cx,
-    job: &RoutedRequest,
+    req: &RoutedRequest,
     service: &Service,
     tried: &[Arc<Upstream>],
-    care: Option<Isolation>,
+    isolation: Option<Isolation>,
     until: Instant,
 ) -> Result<Slot, Refusal> {
-    let guard = cx.admission.enter(&job.service, job);
-    let mut waits = false;
+    let guard = cx.admission.enqueue(&req.service, req);
+    let mut has_waited = false;
     loop {
-        if cx.admission.is_first(&guard) {
-            match pick_with(care, cx, job, service, tried, waits) {
+        if cx.admission.is_next(&guard) {
+            match pick_isolated(isolation, cx, req, service, tried, has_waited) {
                 Pick::Chosen(upstream, version) => {
-                    // There may be room for the next one too.
-                    cx.admission.freed.notify_one();
+                    // There may be free capacity for the next request too.
+                    cx.admission.slot_freed.notify_one();
                     let unread = service
                         .engine
                         .as_ref()
-                        .map_or(0, |_| job.metadata.prompt_tokens);
+                        .map_or(0, |_| req.metadata.prompt_tokens);
                     return Ok(Slot::acquire(
                         upstream,
                         version,
@@ -122,47 +122,50 @@
                         cx.admission.notifier(),
                     ));
                 }
-                Pick::Full => waits = true,
-                Pick::NotBefore(at) if at < until => waits = true,
+                Pick::Full => has_waited = true,
+                Pick::NotBefore(at) if at < until => has_waited = true,
                 Pick::NotBefore(at) => {
-                    let left = at.saturating_duration_since(clock::now());
+                    let remaining = at.saturating_duration_since(clock::now());
                     let draw = rand::rng().random_range(0.0..1.0);
-                    return Err(Refusal::NotBefore(delay_until_available(left, draw)));
+                    return Err(Refusal::NotBefore(delay_until_available(remaining, draw)));
                 }
-                Pick::Nobody => return Err(Refusal::NoUpstream(come_back(Reason::NoUpstream))),
+                Pick::NoUpstream => return Err(Refusal::NoUpstream(retry_delay(Reason::NoUpstream))),
             }
         }
         let now = clock::now();
         if now >= until {
-            return Err(Refusal::Busy(come_back(Reason::Busy)));
+            return Err(Refusal::Busy(retry_delay(Reason::Busy)));
         }
-        let recheck = (now + RECHECK).min(until);
+        let recheck_at = (now + RECHECK_INTERVAL).min(until);
         tokio::select! {
-            _ = cx.admission.freed.notified() => {}
-            _ = clock::sleep_until(recheck) => {}
+            _ = cx.admission.slot_freed.notified() => {}
+            _ = clock::sleep_until(recheck_at) => {}
         }
     }
 }
 
-/// Chooses an upstream; for a suspect one where no other is being tried, if there is room.
-fn pick_with(
-    care: Option<Isolation>,
+/// Chooses an upstream. A suspect gets one where no other suspect is on trial; if these are full and isolation is only
+/// preferred, any other.
+fn pick_isolated(
+    isolation: Option<Isolation>,
     cx: &Cx,
-    job: &RoutedRequest,
+    req: &RoutedRequest,
     service: &Service,
     tried: &[Arc<Upstream>],
-    waits: bool,
+    has_waited: bool,
 ) -> Pick {
-    let Some(care) = care else {
-        return pick(cx, job, service, tried, &[], waits);
+    let Some(isolation) = isolation else {
+        return pick(cx, req, service, tried, &[], has_waited);
     };
     let trials = cx.suspects.active_trials(clock::now());
-    match pick(cx, job, service, tried, &trials, waits) {
-        Pick::Full if care == Isolation::Preferred => pick(cx, job, service, tried, &[], waits),
+    match pick(cx, req, service, tried, &trials, has_waited) {
+        Pick::Full if isolation == Isolation::Preferred => {
+            pick(cx, req, service, tried, &[], has_waited)
+        }
         picked => picked,
     }
 }
 
-fn come_back(reason: Reason) -> Duration {
+fn retry_delay(reason: Reason) -> Duration {
     jittered_delay(reason, rand::rng().random_range(0.0..1.0))
 }
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -1,9 +1,9 @@
-//! Chooses the upstream of a request, by [`decide::load_balancing`].
+//! Load balancing: chooses the upstream of a request, by [`decide::load_balancing`].
 //!
-//! Candidates are where the request may run, in no drained failure domain, take new work, hold a version that
-//! may begin requests, weren't tried yet, and don't fail most of what they get. Cold ones get requests by
-//! [`decide::slow_start`], those that advertise a rate limit by [`decide::rate_limit`], those that ask
-//! for a back-off by [`decide::back_off`].
+//! A candidate is in a place where the request may run and in no drained failure domain, accepts new requests, holds a
+//! version that may begin requests, and hasn't been tried yet. Ejected upstreams and those that fail most of their
+//! requests are chosen only if there is no healthy one. Cold upstreams get requests by [`decide::slow_start`], those
+//! that advertise a rate limit by [`decide::rate_limit`], those that ask for a back-off by [`decide::back_off`].
 
 use std::hash::BuildHasher;
 use std::net::SocketAddr;
@@ -27,53 +27,53 @@
 use crate::upstream::Snapshot;
 use crate::upstream::Upstream;
 
-/// What became of a choice.
+/// Result of choosing an upstream.
 #[derive(Debug)]
 pub(crate) enum Pick {
-    /// An upstream with room, and the version that would run the request; `None` for a plain service.
+    /// An upstream with free capacity, and the version that would run the request; `None` for a plain service.
     Chosen(Arc<Upstream>, Option<WeightsVersion>),
-    /// There are upstreams, but none has room.
+    /// There are upstreams, but none has free capacity.
     Full,
-    /// There are upstreams, but none may be sent a request before a moment.
+    /// There are upstreams, but none may be sent a request before this time.
     NotBefore(Instant),
     /// There is no upstream.
-    Nobody,
+    NoUpstream,
 }
 
-/// An upstream that a choice has come to, with its weight.
-type Found = (f64, Arc<Upstream>, Option<WeightsVersion>);
+/// Candidate with its cost and version.
+type Priced = (f64, Arc<Upstream>, Option<WeightsVersion>);
 
-/// What a walk over the upstreams of a service has found so far.
+/// State of a search through the upstreams of a service.
 #[derive(Default)]
 struct Search {
-    /// Whether any may run the request.
-    fits: bool,
-    /// Earliest time at which one may be sent to that may not be now.
-    next: Option<Instant>,
-    /// Whether any that may run the request doesn't fail most of what it gets.
-    sound: bool,
-    /// Lightest with room among the sound ones.
-    lightest_sound: Option<Found>,
-    /// Lightest with room among all.
-    lightest: Option<Found>,
+    /// Whether any upstream may run the request.
+    has_candidate: bool,
+    /// Earliest time at which an upstream that must wait may be sent a request.
+    not_before: Option<Instant>,
+    /// Whether any upstream that may run the request is healthy.
+    has_healthy: bool,
+    /// Cheapest healthy candidate with free capacity.
+    cheapest_healthy: Option<Priced>,
+    /// Cheapest of all candidates with free capacity.
+    cheapest: Option<Priced>,
 }
 
-/// Chooses an upstream that isn't among `tried`, nor at one of the addresses of `apart`; `waits` says whether
-/// none had room before.
+/// Chooses an upstream that isn't among `tried`, and whose address isn't among `excluded`; `has_waited` states whether
+/// none had free capacity before.
 pub(crate) fn pick(
     cx: &Cx,
-    job: &RoutedRequest,
+    req: &RoutedRequest,
     service: &Service,
     tried: &[Arc<Upstream>],
-    apart: &[SocketAddr],
-    waits: bool,
+    excluded: &[SocketAddr],
+    has_waited: bool,
 ) -> Pick {
     let now = clock::now();
-    let ask = ask(cx, job, service);
-    let model = service.engine.as_ref().and(job.metadata.model.as_ref());
-    let oldest = model.map_or(0, |model| cx.releases.oldest_allowed(model, now));
+    let ask = ask(cx, req, service);
+    let model = service.engine.as_ref().and(req.metadata.model.as_ref());
+    let oldest_allowed = model.map_or(0, |model| cx.releases.oldest_allowed(model, now));
     let (near_gateways, all_gateways) = (cx.near_gateways(), cx.gateways());
-    let entries = cx.registry.entries(&job.service);
+    let entries = cx.registry.entries(&req.service);
     let drained = cx.drains.current();
     let sums = cx.loads.peer_loads();
     let feedback = cx.feedback.current();
@@ -81,154 +81,161 @@
     let mut search = Search::default();
     for entry in entries.iter().filter(|e| e.is_current(now)) {
         let upstream = &entry.upstream;
-        let is_allowed = job.can_run_in(&cx.cfg.domains, &upstream.domain);
+        let is_allowed = req.can_run_in(&cx.cfg.domains, &upstream.domain);
         if !is_allowed || drained.contains_key(&upstream.domain) {
             continue;
         }
-        let view = upstream.snapshot(model, now);
-        let runs = model.is_none()
-            || view
+        let snapshot = upstream.snapshot(model, now);
+        let has_version = model.is_none()
+            || snapshot
                 .serving_version
-                .is_some_and(|version| version >= oldest);
-        let drain = DrainState {
-            listed: view.draining,
+                .is_some_and(|version| version >= oldest_allowed);
+        let drain_state = DrainState {
+            listed: snapshot.draining,
             advertised: feedback.is_draining(upstream.incarnation),
         };
-        if !accepts_requests(drain)
-            || !runs
+        if !accepts_requests(drain_state)
+            || !has_version
             || tried.iter().any(|t| t.instance == upstream.instance)
         {
             continue;
         }
         let others = sums.get(&upstream.addr);
-        let sound = !view.is_ejected && !is_failing(upstream, &view, others, now);
+        let is_healthy = !snapshot.is_ejected && !is_failing(upstream, &snapshot, others, now);
         let is_far = upstream.domain != cx.registry.domain;
-        let warmth = match service.cold_rate.filter(|_| view.is_cold) {
-            None => Warmth::Warm,
-            Some(rate) => cold(cx, upstream, &view, rate, now),
+        let slow_start = match service.cold_rate.filter(|_| snapshot.is_cold) {
+            None => SlowStart::Warm,
+            Some(rate) => slow_start_state(cx, upstream, &snapshot, rate, now),
         };
-        if warmth == Warmth::OthersSend {
+        if slow_start == SlowStart::NotSender {
             continue;
         }
         let limit = feedback.rate_limit(upstream.incarnation);
-        let by_rate = limit.and_then(|limit| next_by_rate(cx, upstream, &view, &limit));
-        let next = next_send(feedback.back_off_until(upstream.incarnation), by_rate);
+        let next_by_rate =
+            limit.and_then(|limit| next_by_rate_limit(cx, upstream, &snapshot, &limit));
+        let next = next_send(feedback.back_off_until(upstream.incarnation), next_by_rate);
         if let Some(next) = next.filter(|next| *next > now) {
-            search.not_before(next);
+            search.defer(next);
             continue;
         }
-        search.fits = true;
-        if warmth == Warmth::NotDue || apart.contains(&upstream.addr) {
+        search.has_candidate = true;
+        if slow_start == SlowStart::NotDue || excluded.contains(&upstream.addr) {
             continue;
         }
-        search.sound |= sound;
-        let candidate = candidate(&view, others, is_far);
+        search.has_healthy |= is_healthy;
+        let candidate = candidate(&snapshot, others, is_far);
         let gateways = match is_far {
             true => all_gateways,
             false => near_gateways,
         };
         let draw = draw(cx, upstream, is_far, now);
-        // Few gateways send to a cold or limited one at all, and at a pace.
-        let is_contended = warmth == Warmth::Warm && limit.is_none();
-        if is_contended && !should_try(ask.free_capacity(&candidate), gateways, is_far, waits, draw)
+        // Only a few gateways send to a cold or rate-limited upstream, and these pace their requests.
+        let is_contended = slow_start == SlowStart::Warm && limit.is_none();
+        if is_contended && !should_try(ask.free_capacity(&candidate), gateways, is_far, has_waited, draw)
         {
             continue;
         }
-        if let Some(weight) = ask.cost(&candidate) {
-            let weight = weight + rng.random_range(0.0..JITTER);
-            search.offer(weight, upstream, view.serving_version, sound);
+        if let Some(cost) = ask.cost(&candidate) {
+            let cost = cost + rng.random_range(0.0..JITTER);
+            search.offer(cost, upstream, snapshot.serving_version, is_healthy);
         }
     }
-    search.end()
+    search.finish()
 }
 
 impl Search {
-    /// Notes an upstream that may be sent to from `at` on.
-    fn not_before(&mut self, at: Instant) {
-        self.next = Some(self.next.map_or(at, |next| next.min(at)));
+    /// Records an upstream that may be sent requests from `at` on.
+    fn defer(&mut self, at: Instant) {
+        self.not_before = Some(self.not_before.map_or(at, |next| next.min(at)));
     }
 
     fn offer(
         &mut self,
-        weight: f64,
+        cost: f64,
         upstream: &Arc<Upstream>,
         version: Option<WeightsVersion>,
-        sound: bool,
+        is_healthy: bool,
     ) {
-        let lighter =
-            |found: &Option<Found>| found.as_ref().is_none_or(|(least, ..)| weight < *least);
-        if lighter(&self.lightest) {
-            self.lightest = Some((weight, upstream.clone(), version));
+        let is_cheaper =
+            |found: &Option<Priced>| found.as_ref().is_none_or(|(min, ..)| cost < *min);
+        if is_cheaper(&self.cheapest) {
+            self.cheapest = Some((cost, upstream.clone(), version));
         }
-        if sound && lighter(&self.lightest_sound) {
-            self.lightest_sound = Some((weight, upstream.clone(), version));
+        if is_healthy && is_cheaper(&self.cheapest_healthy) {
+            self.cheapest_healthy = Some((cost, upstream.clone(), version));
         }
     }
 
-    /// Those that fail are chosen only where there is no other.
-    fn end(self) -> Pick {
-        let found = match self.sound {
-            true => self.lightest_sound,
-            false => self.lightest,
+    /// Returns the result; an unhealthy upstream is chosen only if there is no healthy one.
+    fn finish(self) -> Pick {
+        let found = match self.has_healthy {
+            true => self.cheapest_healthy,
+            false => self.cheapest,
         };
-        match (found, self.next) {
+        match (found, self.not_before) {
             (Some((_, upstream, version)), _) => Pick::Chosen(upstream, version),
-            (None, _) if self.fits => Pick::Full,
+            (None, _) if self.has_candidate => Pick::Full,
             (None, Some(next)) => Pick::NotBefore(next),
-            (None, None) => Pick::Nobody,
+            (None, None) => Pick::NoUpstream,
         }
     }
 }
 
-/// What slow start says of an upstream.
+/// Slow-start state of an upstream, for this gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Warmth {
-    /// It isn't cold.
+enum SlowStart {
+    /// The upstream isn't cold.
     Warm,
-    /// It is cold, and this gateway may send a request now.
+    /// The upstream is cold, and this gateway may send a request now.
     Due,
-    /// It is cold, and this gateway may send a request later.
+    /// The upstream is cold, and this gateway may send a request later.
     NotDue,
-    /// It is cold, and only other gateways send requests.
-    OthersSend,
+    /// The upstream is cold, and only other gateways send requests.
+    NotSender,
 }
 
-/// Returns whether this gateway may send a request to a cold upstream that bears so many a second.
-fn cold(cx: &Cx, upstream: &Upstream, view: &Snapshot, rate: f64, now: Instant) -> Warmth {
+/// Returns the slow-start state of a cold upstream that bears `rate` requests a second.
+fn slow_start_state(
+    cx: &Cx,
+    upstream: &Upstream,
+    snapshot: &Snapshot,
+    rate: f64,
+    now: Instant,
+) -> SlowStart {
     let limit = Limit {
         rate,
         overage: cx.cfg.cold_overage,
         slack: cx.cfg.cold_slack,
     };
     let Some(interval) = limit.interval() else {
-        return Warmth::OthersSend;
+        return SlowStart::NotSender;
     };
     match sender_rank(cx, upstream).is_some_and(is_sender) {
-        false => Warmth::OthersSend,
-        true if is_due(view.last_chosen, interval, now) => Warmth::Due,
-        true => Warmth::NotDue,
+        false => SlowStart::NotSender,
+        true if is_due(snapshot.last_chosen, interval, now) => SlowStart::Due,
+        true => SlowStart::NotDue,
     }
 }
 
-/// When this gateway may next send to an upstream with a rate limit; `None` for at once.
-fn next_by_rate(
+/// Returns when this gateway may next send to an upstream with a rate limit; `None` for at once.
+fn next_by_rate_limit(
     cx: &Cx,
     upstream: &Upstream,
-    view: &Snapshot,
+    snapshot: &Snapshot,
     limit: &RateLimit,
 ) -> Option<Instant> {
     match sender_rank(cx, upstream) {
-        Some(rank) => limit.next(rank, cx.near_gateways(), view.last_chosen),
-        // Other gateways all go first.
+        Some(rank) => limit.next(rank, cx.near_gateways(), snapshot.last_chosen),
+        // All other gateways rank before this one.
         None => {
             let all = cx.gateways();
-            limit.next(all, all, view.last_chosen)
+            limit.next(all, all, snapshot.last_chosen)
         }
     }
 }
 
-/// Rank of this gateway among the senders of an upstream. `None` where it is in another failure domain, or isn't
-/// listed, so that others don't count with it.
+/// Returns the rank of this gateway among the senders of an upstream. `None` if the upstream is in another failure
+/// domain, or this gateway isn't listed, so that others don't include it in their ranks.
 fn sender_rank(cx: &Cx, upstream: &Upstream) -> Option<usize> {
     let peers = cx.peers.borrow();
     let others = peers.near_gateways.keys();
@@ -236,10 +243,10 @@
     may_rank.then(|| senders::rank(&upstream.addr.to_string(), &cx.cfg.node.vm, others))
 }
 
-/// Whether an upstream fails most of what all gateways send there.
-fn is_failing(upstream: &Upstream, view: &Snapshot, others: PeerLoad, now: Instant) -> bool {
-    // Few fail at all; only of these it matters what has faded.
-    if !OutcomeCounts::may_be_failing(others.outcomes.failed + view.max_failed) {
+/// Returns whether an upstream fails most of the requests that all gateways send to it.
+fn is_failing(upstream: &Upstream, snapshot: &Snapshot, others: PeerLoad, now: Instant) -> bool {
+    // Few upstreams fail at all; the decay of counts is computed for these only.
+    if !OutcomeCounts::may_be_failing(others.outcomes.failed + snapshot.max_failed) {
         return false;
     }
     let own = upstream.outcome_counts(now);
@@ -250,36 +257,37 @@
     ended.is_failing()
 }
 
-/// A draw in 0..1 for an upstream, which holds for as long as other gateways don't know what this one sends.
+/// Returns a draw in 0..1 for an upstream. It stays the same for as long as other gateways don't know what this one
+/// sends.
 fn draw(cx: &Cx, upstream: &Upstream, is_far: bool, now: Instant) -> f64 {
     let since_start = now.saturating_duration_since(cx.started);
     let moment = since_start.as_millis() / draw_period(is_far).as_millis();
-    // The upper half of the hash, so that it is exact as a float.
+    // The upper half of the hash converts to a float exactly.
     let hash = cx.random_state.hash_one((upstream.addr, moment)) >> 32;
     hash as f64 / f64::from(u32::MAX)
 }
 
-fn ask(cx: &Cx, job: &RoutedRequest, service: &Service) -> Requirements {
-    let expected_tokens = job
+fn ask(cx: &Cx, req: &RoutedRequest, service: &Service) -> Requirements {
+    let expected_tokens = req
         .metadata
         .expected_tokens
-        .unwrap_or(job.metadata.max_tokens);
+        .unwrap_or(req.metadata.max_tokens);
     Requirements {
-        deadline_class: job.deadline_class,
-        objective: job.route.objective,
+        deadline_class: req.deadline_class,
+        objective: req.route.objective,
         prompt_rate: service.engine.as_ref().map(|e| e.prompt_rate),
         expected_tokens,
         is_only_gateway: cx.gateways() == 1,
     }
 }
 
-fn candidate(view: &Snapshot, others: PeerLoad, is_far: bool) -> Candidate {
+fn candidate(snapshot: &Snapshot, others: PeerLoad, is_far: bool) -> Candidate {
     Candidate {
-        slots: view.slots,
-        requests: view.requests + others.requests,
-        unread: view.unread + others.unread,
-        own_unread: view.unread,
+        slots: snapshot.slots,
+        requests: snapshot.requests + others.requests,
+        unread: snapshot.unread + others.unread,
+        own_unread: snapshot.unread,
         is_far,
-        leaves_in: view.leaves_in,
+        leaves_in: snapshot.leaves_in,
     }
 }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,8 +1,8 @@
-//! A connection to an upstream, for one request.
+//! HTTP/1 connection to an upstream, used for a single request.
 //!
-//! Connections aren't kept: an upstream may forget one that rests, or send a second answer on it
-//! later, and a new connection costs a fraction of a thousandth of a request. So what comes on a
-//! connection can belong to no other request.
+//! Connections aren't pooled: an upstream may drop an idle connection, or send a surplus response on it later, and
+//! opening a new one costs a fraction of a thousandth of a request. Bytes received on a connection therefore never
+//! belong to another request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// Time after which a connection whose packets aren't acknowledged is given up: behind a cut
-/// nothing ever answers.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+/// TCP user timeout: a connection whose packets stay unacknowledged for this long is closed, since nothing ever
+/// answers behind a network partition.
+const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection; closed when dropped.
+/// Connection to an upstream; closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -33,25 +33,25 @@
 }
 
 impl Connection {
-    /// Connects.
-    pub async fn open(addr: SocketAddr, within: Duration) -> std::io::Result<Connection> {
-        let stream = tokio::time::timeout(within, TcpStream::connect(addr)).await??;
+    /// Opens a connection to `addr` within `timeout`.
+    pub async fn open(addr: SocketAddr, timeout: Duration) -> std::io::Result<Connection> {
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(addr)).await??;
         stream.set_nodelay(true)?;
         let socket = socket2::SockRef::from(&stream);
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
-        // Closing resets: what is still on its way when a request is taken back must not arrive.
+        socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
+        // Closing resets the connection: bytes in transit must not arrive once a request is cancelled.
         socket.set_linger(Some(Duration::ZERO))?;
         let (sender, conn) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(std::io::Error::other)?;
         let task = tokio::spawn(async move {
-            // What goes wrong shows in the answer, where it is handled.
+            // Errors surface in the response future, where they are handled.
             let _ = conn.await;
         });
         Ok(Connection { sender, task })
     }
 
-    /// Sends the request and waits for the head of the answer.
+    /// Sends the request and waits for the response head.
     pub async fn send(
         &mut self,
         req: hyper::Request<Full<Bytes>>,
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,60 +1,60 @@
-//! Cuts the bytes of a stream into whole events.
+//! Splits the bytes of a server-sent event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::request::EventId;
 
-/// Bytes of a stream, whole events first.
+/// Buffered bytes of a stream, complete events first.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventBuffer {
     buf: BytesMut,
-    last: Option<EventId>,
+    last_id: Option<EventId>,
 }
 
-impl Events {
-    /// Takes bytes as they came.
+impl EventBuffer {
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// All whole events that have come; `None` where there is none.
-    pub fn take(&mut self) -> Option<Bytes> {
-        let end = last_end(&self.buf)?;
-        let whole = self.buf.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
-            self.last = Some(id);
+    /// Removes and returns all complete events; `None` if there are none.
+    pub fn take_complete(&mut self) -> Option<Bytes> {
+        let end = end_of_last_event(&self.buf)?;
+        let complete = self.buf.split_to(end).freeze();
+        if let Some(id) = parse_last_id(&complete) {
+            self.last_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
-    /// Id of the last event taken.
-    pub fn last(&self) -> Option<&EventId> {
-        self.last.as_ref()
+    /// Returns the last id among the events taken.
+    pub fn last_id(&self) -> Option<&EventId> {
+        self.last_id.as_ref()
     }
 
-    /// Whether the bytes ended with a whole event.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether no partial event is buffered.
+    pub fn is_complete(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Forgets a part of an event.
-    pub fn drop_part(&mut self) {
+    /// Discards a partial event.
+    pub fn discard_partial(&mut self) {
         self.buf.clear();
     }
 }
 
-/// Where the last whole event ends: after its empty line.
-fn last_end(buf: &[u8]) -> Option<usize> {
-    let by_feed = buf.windows(2).rposition(|w| w == b"\n\n").map(|i| i + 2);
-    let by_return = buf
+/// Returns the end of the last complete event, after its empty line.
+fn end_of_last_event(buf: &[u8]) -> Option<usize> {
+    let lf_end = buf.windows(2).rposition(|w| w == b"\n\n").map(|i| i + 2);
+    let crlf_end = buf
         .windows(4)
         .rposition(|w| w == b"\r\n\r\n")
         .map(|i| i + 4);
-    by_feed.max(by_return)
+    lf_end.max(crlf_end)
 }
 
-fn last_id(whole: &[u8]) -> Option<EventId> {
-    let text = std::str::from_utf8(whole).ok()?;
+fn parse_last_id(complete: &[u8]) -> Option<EventId> {
+    let text = std::str::from_utf8(complete).ok()?;
     let id = |line: &str| line.strip_prefix("id:").map(|id| id.trim().to_owned());
     text.lines().rev().find_map(id)
 }
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -1,4 +1,4 @@
-//! A request from its head to its answer.
+//! Handles a request from its head to its response: authorization, attempts at upstreams, and retries.
 
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
@@ -13,16 +13,18 @@
 use web::{BodyError, Request, Response, full, read_body};
 
 use crate::Cx;
-use crate::admission::{slot, wait_until};
+use crate::admission::acquire_slot;
+use crate::admission::queue_deadline;
 use crate::confirm::decision;
 use crate::confirm::wait_for_confirmation;
 use crate::loss;
 use crate::loss::ResponseLoss;
-use crate::record::{Ending, Record};
+use crate::record::RequestOutcome;
+use crate::record::RequestRecord;
 use crate::refusal::Refusal;
-use crate::relay::{self, Stream};
+use crate::relay::{self, EventStream};
 use crate::request::{RequestMetadata, RoutedRequest};
-use crate::send::{Answer, Sent, read_whole, record_health, send};
+use crate::send::{SendOutcome, UpstreamResponse, read_to_end, record_health, send};
 use crate::spans::Span;
 use crate::suspects::wait_until_permitted;
 use crate::upstream::{Health, Slot, Upstream};
@@ -30,63 +32,63 @@
 /// Log prefix of this part.
 const PART: &str = "handle";
 
-/// When to come back to a gateway that knows no configuration yet, or can't have it confirmed.
+/// Retry delay if the gateway has no configuration yet, or can't have it confirmed.
 const NOT_READY_RETRY: Duration = Duration::from_millis(500);
 
-/// When to come back where no upstream took the request.
-const NOT_TAKEN_RETRY: Duration = Duration::from_millis(400);
+/// Retry delay if no upstream accepted the request.
+const NOT_ACCEPTED_RETRY: Duration = Duration::from_millis(400);
 
-/// How long a request that an upstream refused waits for another.
-const AGAIN_WAIT: Duration = Duration::from_millis(50);
+/// Maximum wait of a retry for a slot at another upstream.
+const RETRY_SLOT_WAIT: Duration = Duration::from_millis(50);
 
-/// Failed connections after which a request is given up; they reached nobody, so they don't count
-/// as attempts.
-pub(crate) const MOST_UNREACHABLE: u32 = 4;
+/// Number of failed connections after which a request is given up. Nothing was sent on them, so they don't count as
+/// attempts.
+pub(crate) const MAX_UNREACHABLE: u32 = 4;
 
-/// Handles a request.
+/// Handles a request and returns its response.
 pub async fn handle(cx: Arc<Cx>, req: Request) -> Response {
     let arrived = clock::now();
-    let mut record = Record::new(arrived);
+    let mut record = RequestRecord::new(arrived);
     match admit(&cx, req, arrived, &mut record).await {
-        Ok((job, service)) => dispatch(&cx, job, service, record).await,
-        Err(refusal) => refused(&refusal, record),
+        Ok((req, service)) => dispatch(&cx, req, service, record).await,
+        Err(refusal) => refuse(&refusal, record),
     }
 }
 
-/// Finds route, workspace and service, and reads the body.
+/// Looks up route, workspace and service, and reads the body.
 async fn admit(
     cx: &Arc<Cx>,
     req: Request,
     arrived: Instant,
-    record: &mut Record,
+    record: &mut RequestRecord,
 ) -> Result<(RoutedRequest, Arc<Service>), Refusal> {
     let (head, body) = req.into_parts();
     let metadata = (cx.codec.parse_request)(&head).map_err(|e| Refusal::BadHead(e.to_string()))?;
-    record.id.clone_from(&metadata.attempt_id);
+    record.attempt_id.clone_from(&metadata.attempt_id);
     let until = arrived + cx.cfg.start_wait;
-    let Allowed {
+    let Authorized {
         catalog,
         route,
         workspace,
-    } = allowed(cx, &metadata, head.uri.path(), until, record).await?;
+    } = authorize(cx, &metadata, head.uri.path(), until, record).await?;
     if let Some(workspace) = &workspace {
         record.workspace.clone_from(&workspace.workspace);
     }
-    let patience = metadata.timeout.unwrap_or(route.timeout).min(route.timeout);
-    record.patience_ms = patience.as_millis() as u64;
-    let waited = cx
+    let timeout = metadata.timeout.unwrap_or(route.timeout).min(route.timeout);
+    record.timeout_ms = timeout.as_millis() as u64;
+    let attempt_age = cx
         .attempt_ages
         .attempt_age(&route.name, metadata.timeout, arrived);
-    record.waited_ms = waited.as_millis() as u64;
-    let body = read(&catalog, &head, body, patience).await?;
+    record.attempt_age_ms = attempt_age.as_millis() as u64;
+    let body = read_request_body(&catalog, &head, body, timeout).await?;
     let service = route.service(rand::rng().random_range(0.0..1.0)).clone();
     record.service.clone_from(&service);
     let service = catalog
         .service(&service)
         .ok_or(Refusal::NoUpstream(NOT_READY_RETRY))?
         .clone();
-    let deadline_class = deadline_class(&metadata, &route, &service, waited);
-    let job = RoutedRequest {
+    let deadline_class = deadline_class(&metadata, &route, &service, attempt_age);
+    let req = RoutedRequest {
         deadline_class,
         metadata,
         head,
@@ -95,43 +97,43 @@
         service: service.name.clone(),
         workspace,
         arrived,
-        deadline: arrived + patience,
+        deadline: arrived + timeout,
         spans: record.spans.clone(),
         fingerprint: OnceLock::new(),
     };
     record.spans.add(Span::Admit, arrived);
-    Ok((job, service))
+    Ok((req, service))
 }
 
-/// What the configuration allows a request.
-struct Allowed {
+/// Route and workspace of a request that the configuration allows.
+struct Authorized {
     catalog: Arc<Catalog>,
     route: Arc<Route>,
     workspace: Option<Arc<WorkspacePolicy>>,
 }
 
-/// Finds route and workspace. A request that the configuration doesn't allow is denied only where it was
-/// confirmed lately: a change that allows it may be on its way.
-async fn allowed(
+/// Looks up route and workspace. A request that the configuration doesn't allow is denied only if the configuration
+/// was confirmed recently: a change that allows the request may still be propagating.
+async fn authorize(
     cx: &Arc<Cx>,
     metadata: &RequestMetadata,
     path: &str,
     until: Instant,
-    record: &mut Record,
-) -> Result<Allowed, Refusal> {
+    record: &mut RequestRecord,
+) -> Result<Authorized, Refusal> {
     loop {
         let catalog = configuration(cx).await?;
-        record.revision = catalog.revision;
+        record.config_revision = catalog.revision;
         let age = cx.mirror.age(cx.configuration.name).unwrap_or_default();
-        record.confirmed_ms = age.as_millis() as u64;
-        let denial = match look_up(catalog.clone(), metadata, path, record) {
-            Ok(allowed) => return Ok(allowed),
-            Err(denial) => denial,
+        record.config_age_ms = age.as_millis() as u64;
+        let refusal = match look_up(catalog.clone(), metadata, path, record) {
+            Ok(authorized) => return Ok(authorized),
+            Err(refusal) => refusal,
         };
         match decision(cx) {
-            // The verdict goes for the configuration in force by now, so that one is looked up.
+            // The decision applies to the configuration that is now in force, so the lookup is repeated with it.
             Decision::Deny if !is_in_force(cx, &catalog) => continue,
-            Decision::Deny => return Err(denial),
+            Decision::Deny => return Err(refusal),
             Decision::Confirm => wait_for_confirmation(cx, until).await,
             Decision::Refuse => return Err(Refusal::Unconfirmed(NOT_READY_RETRY)),
         }
@@ -150,38 +152,38 @@
     catalog: Arc<Catalog>,
     metadata: &RequestMetadata,
     path: &str,
-    record: &mut Record,
-) -> Result<Allowed, Refusal> {
+    record: &mut RequestRecord,
+) -> Result<Authorized, Refusal> {
     let route = catalog
         .route(&metadata.host, path)
         .ok_or(Refusal::NoRoute)?;
     let route = route.clone();
     record.route.clone_from(&route.name);
     let workspace = workspace(&catalog, metadata, route.public)?;
-    Ok(Allowed {
+    Ok(Authorized {
         catalog,
         route,
         workspace,
     })
 }
 
-/// Whether a request whose caller first asked so long ago can still have its first event in time.
+/// Classifies a request by whether, at this attempt age, its first event can still be within the objective.
 fn deadline_class(
     metadata: &RequestMetadata,
     route: &Route,
     service: &Service,
-    waited: Duration,
+    attempt_age: Duration,
 ) -> DeadlineClass {
     let engine = service.engine.as_ref();
-    let read = engine.map_or(Duration::ZERO, |e| e.prompt_time(metadata.prompt_tokens));
-    match waited + read < route.objective {
+    let prompt_time = engine.map_or(Duration::ZERO, |e| e.prompt_time(metadata.prompt_tokens));
+    match attempt_age + prompt_time < route.objective {
         true => DeadlineClass::OnTime,
         false => DeadlineClass::Late,
     }
 }
 
-/// The configuration in force. A process that has just started waits for it a moment: it usually has it
-/// within 30 ms, and callers come back at once to one that was down.
+/// Returns the configuration in force. A process that has just started waits for it briefly: it usually has it within
+/// 30 ms, and callers reconnect at once to a process that was down.
 async fn configuration(cx: &Cx) -> Result<Arc<Catalog>, Refusal> {
     let mut catalog = cx.catalog.clone();
     let known = catalog.wait_for(Option::is_some);
@@ -191,7 +193,7 @@
     known.ok_or(Refusal::NotReady(NOT_READY_RETRY))
 }
 
-/// The workspace that holds the caller's key.
+/// Returns the workspace of the caller's key.
 fn workspace(
     catalog: &Catalog,
     metadata: &RequestMetadata,
@@ -207,17 +209,17 @@
     }
 }
 
-async fn read(
+async fn read_request_body(
     catalog: &Catalog,
     head: &request::Parts,
     body: hyper::body::Incoming,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Bytes, Refusal> {
     if hyper::body::Body::is_end_stream(&body) {
         return Ok(Bytes::new());
     }
     let limit = catalog.limits.body_bytes;
-    read_body(body, limit, within).await.map_err(|e| {
+    read_body(body, limit, timeout).await.map_err(|e| {
         debug!(target: PART, "{PART}: event=body_failed path={} why=\"{e}\"", head.uri.path());
         match e {
             BodyError::TooLarge(limit) => Refusal::TooLarge(limit),
@@ -227,168 +229,170 @@
     })
 }
 
-/// What has come of a request so far.
+/// Attempts of a request so far.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
-    /// Upstreams it was sent to, or that could not be reached.
-    pub upstreams: Vec<Arc<Upstream>>,
-    /// How many it was sent to.
+pub(crate) struct Attempts {
+    /// Upstreams that were tried, including those that couldn't be reached.
+    pub tried: Vec<Arc<Upstream>>,
+    /// Number of upstreams that the request was sent to.
     pub sent: u32,
     unreachable: u32,
-    /// Why it may have run although no answer can be had.
+    /// Reason why the request may have run without a response.
     lost: Option<ResponseLoss>,
-    /// A failure that an upstream answered with.
+    /// Server error that an upstream responded with.
     failure: Option<Response>,
 }
 
-impl Tries {
-    /// The final answer where no upstream is left: one that is true after what was sent.
-    fn give_up(self, refusal: Refusal, record: Record) -> Response {
+impl Attempts {
+    /// Returns the final response if no upstream is left: `refusal` only if no attempt may have run.
+    fn give_up(self, refusal: Refusal, record: RequestRecord) -> Response {
         match (self.failure, self.lost) {
-            (Some(res), _) => answered(res, record),
-            (None, Some(loss)) => refused(&Refusal::Lost(loss.to_string()), record),
-            (None, None) => refused(&refusal, record),
+            (Some(res), _) => respond(res, record),
+            (None, Some(loss)) => refuse(&Refusal::Lost(loss.to_string()), record),
+            (None, None) => refuse(&refusal, record),
         }
     }
 }
 
-/// Sends a request until an upstream answers or it must be given up.
+/// Sends a request to upstreams until one responds or the request is given up.
 async fn dispatch(
     cx: &Arc<Cx>,
-    job: RoutedRequest,
+    req: RoutedRequest,
     service: Arc<Service>,
-    mut record: Record,
+    mut record: RequestRecord,
 ) -> Response {
-    cx.retry_budget.deposit(&job.service, clock::now());
-    let job = Arc::new(job);
-    let mut tries = Tries::default();
+    cx.retry_budget.deposit(&req.service, clock::now());
+    let req = Arc::new(req);
+    let mut attempts = Attempts::default();
     loop {
-        let care = match wait_until_permitted(cx, &job).await {
-            Ok(care) => care,
-            Err(refusal) => return tries.give_up(refusal, record),
+        let isolation = match wait_until_permitted(cx, &req).await {
+            Ok(isolation) => isolation,
+            Err(refusal) => return attempts.give_up(refusal, record),
         };
-        let until = match tries.upstreams.is_empty() {
-            true => wait_until(&job),
-            false => (clock::now() + AGAIN_WAIT).min(job.deadline),
+        let until = match attempts.tried.is_empty() {
+            true => queue_deadline(&req),
+            false => (clock::now() + RETRY_SLOT_WAIT).min(req.deadline),
         };
-        let asked = clock::now();
-        let chosen = slot(cx, &job, &service, &tries.upstreams, care, until).await;
-        job.spans.add(Span::Line, asked);
+        let queued_at = clock::now();
+        let chosen = acquire_slot(cx, &req, &service, &attempts.tried, isolation, until).await;
+        req.spans.add(Span::Queue, queued_at);
         let mut slot = match chosen {
             Ok(slot) => slot,
-            Err(refusal) => return tries.give_up(refusal, record),
+            Err(refusal) => return attempts.give_up(refusal, record),
         };
-        if let Some(refusal) = may_not_send(cx, &job, &tries) {
-            return tries.give_up(refusal, record);
+        if let Some(refusal) = check_limits(cx, &req, &attempts) {
+            return attempts.give_up(refusal, record);
         }
-        // What is known of it may have changed while it waited.
-        slot.trial = match cx.suspects.begin_trial(&job, slot.upstream().addr).await {
+        // The request may have become a suspect while it was queued.
+        slot.trial = match cx.suspects.begin_trial(&req, slot.upstream().addr).await {
             Ok(trial) => trial,
-            Err(refusal) => return tries.give_up(refusal, record),
+            Err(refusal) => return attempts.give_up(refusal, record),
         };
-        tries.upstreams.push(slot.upstream().clone());
+        attempts.tried.push(slot.upstream().clone());
         let instance = slot.upstream().instance.clone();
-        let sent = send(cx, &job, &slot, None).await;
-        if !matches!(sent, Sent::Lost(_)) {
-            record.tried(&instance, sent.name());
+        let sent = send(cx, &req, &slot, None).await;
+        if !matches!(sent, SendOutcome::Lost(_)) {
+            record.record_attempt(&instance, sent.name());
         }
         match sent {
-            Sent::Unreached(why) => {
-                debug!(target: PART, "{PART}: event=unreachable id={} upstream={instance} why=\"{why}\"", job.metadata.attempt_id);
-                tries.unreachable += 1;
+            SendOutcome::Unreached(why) => {
+                debug!(target: PART, "{PART}: event=unreachable id={} upstream={instance} why=\"{why}\"", req.metadata.attempt_id);
+                attempts.unreachable += 1;
                 continue;
             }
-            Sent::NotRun(why) => {
-                debug!(target: PART, "{PART}: event=not_run id={} upstream={instance} why=\"{why}\"", job.metadata.attempt_id);
-                tries.sent += 1;
+            SendOutcome::NotRun(why) => {
+                debug!(target: PART, "{PART}: event=not_run id={} upstream={instance} why=\"{why}\"", req.metadata.attempt_id);
+                attempts.sent += 1;
             }
-            Sent::Lost(loss) => {
-                tries.sent += 1;
-                let fate = loss::note(cx, &job, slot.upstream(), &loss).await;
-                record.tried(&instance, fate.name());
-                tries.lost = Some(loss);
+            SendOutcome::Lost(loss) => {
+                attempts.sent += 1;
+                let outcome = loss::record(cx, &req, slot.upstream(), &loss).await;
+                record.record_attempt(&instance, outcome.name());
+                attempts.lost = Some(loss);
             }
-            Sent::Answer(answer) if streams(&job, &answer) => {
-                tries.sent += 1;
-                let stream = Stream::new(cx, &job, &service, *answer, slot);
-                match relay::begin(stream, tries.upstreams.clone(), tries.sent).await {
-                    Ok(begun) => return begun.respond(record),
-                    Err((loss, fate)) => {
-                        record.tried(&instance, fate.name());
-                        tries.lost = Some(loss);
+            SendOutcome::Response(response) if is_stream(&req, &response) => {
+                attempts.sent += 1;
+                let stream = EventStream::new(cx, &req, &service, *response, slot);
+                match relay::start(stream, attempts.tried.clone(), attempts.sent).await {
+                    Ok(started) => return started.respond(record),
+                    Err((loss, outcome)) => {
+                        record.record_attempt(&instance, outcome.name());
+                        attempts.lost = Some(loss);
                     }
                 }
             }
-            Sent::Answer(answer) => {
-                tries.sent += 1;
-                match whole(cx, &job, &slot, *answer).await {
-                    Ok(res) if res.status().is_server_error() => tries.failure = Some(res),
-                    Ok(res) => return answered(res, record),
+            SendOutcome::Response(response) => {
+                attempts.sent += 1;
+                match read_response(cx, &req, &slot, *response).await {
+                    Ok(res) if res.status().is_server_error() => attempts.failure = Some(res),
+                    Ok(res) => return respond(res, record),
                     Err(loss) => {
-                        let fate = loss::note(cx, &job, slot.upstream(), &loss).await;
-                        record.tried(&instance, fate.name());
-                        tries.lost = Some(loss);
+                        let outcome = loss::record(cx, &req, slot.upstream(), &loss).await;
+                        record.record_attempt(&instance, outcome.name());
+                        attempts.lost = Some(loss);
                     }
                 }
             }
         }
-        if (tries.lost.is_some() || tries.failure.is_some()) && !job.is_retryable() {
-            return tries.give_up(Refusal::TimedOut, record);
+        if (attempts.lost.is_some() || attempts.failure.is_some()) && !req.is_retryable() {
+            return attempts.give_up(Refusal::TimedOut, record);
         }
     }
 }
 
-fn refused(refusal: &Refusal, mut record: Record) -> Response {
-    record.ending = Ending::Refused(refusal.status(), refusal.name());
-    refusal.answer()
+fn refuse(refusal: &Refusal, mut record: RequestRecord) -> Response {
+    record.outcome = RequestOutcome::Refused(refusal.status(), refusal.name());
+    refusal.response()
 }
 
-fn answered(res: Response, mut record: Record) -> Response {
-    record.ending = Ending::Answered(res.status().as_u16());
+fn respond(res: Response, mut record: RequestRecord) -> Response {
+    record.outcome = RequestOutcome::Answered(res.status().as_u16());
     res
 }
 
-/// Why a request may not be sent now: time, attempts or the budget are used up.
-fn may_not_send(cx: &Cx, job: &RoutedRequest, tries: &Tries) -> Option<Refusal> {
-    let attempts = tries.sent >= job.route.max_attempts || tries.unreachable >= MOST_UNREACHABLE;
-    if job.remaining().is_zero() {
-        return Some(Refusal::NoTime(NOT_TAKEN_RETRY));
+/// Returns a refusal if the request may not be sent now because its time, attempts or retry budget are used up.
+fn check_limits(cx: &Cx, req: &RoutedRequest, attempts: &Attempts) -> Option<Refusal> {
+    let is_exhausted =
+        attempts.sent >= req.route.max_attempts || attempts.unreachable >= MAX_UNREACHABLE;
+    if req.remaining().is_zero() {
+        return Some(Refusal::NoTime(NOT_ACCEPTED_RETRY));
     }
-    let pays = || {
+    let withdraw = || {
         cx.retry_budget
-            .withdraw(&job.service, cx.gateways(), clock::now())
+            .withdraw(&req.service, cx.gateways(), clock::now())
     };
-    (attempts || (tries.sent > 0 && !pays())).then_some(Refusal::NotTaken(NOT_TAKEN_RETRY))
+    (is_exhausted || (attempts.sent > 0 && !withdraw()))
+        .then_some(Refusal::NotTaken(NOT_ACCEPTED_RETRY))
 }
 
-fn streams(job: &RoutedRequest, answer: &Answer) -> bool {
-    job.route.kind.is_stream() && answer.head.status.is_success()
+fn is_stream(req: &RoutedRequest, response: &UpstreamResponse) -> bool {
+    req.route.kind.is_stream() && response.head.status.is_success()
 }
 
-/// Reads an answer to its end, so that one that breaks off is never passed on as whole.
-async fn whole(
+/// Reads a response to its end, so that an incomplete one is never relayed as complete.
+async fn read_response(
     cx: &Cx,
-    job: &RoutedRequest,
+    req: &RoutedRequest,
     slot: &Slot,
-    answer: Answer,
+    response: UpstreamResponse,
 ) -> Result<Response, ResponseLoss> {
-    let Answer {
+    let UpstreamResponse {
         head,
         body,
         connection,
-    } = answer;
-    let buf = read_whole(body, job.remaining()).await;
+    } = response;
+    let buf = read_to_end(body, req.remaining()).await;
     drop(connection);
     let buf = buf?;
     let status = head.status.as_u16();
-    // A status that promises what the upstream did not say isn't passed on; where it did say so,
-    // this was no answer but a refusal.
-    if matches!(status, 408 | 429 | 503) && !job.is_retryable() {
-        return Err(ResponseLoss::Unclear(status));
+    // These statuses promise that the request has not run. If the upstream had stated so, the response would have
+    // been a rejection (`SendOutcome::NotRun`); without that statement the status isn't relayed.
+    if matches!(status, 408 | 429 | 503) && !req.is_retryable() {
+        return Err(ResponseLoss::AmbiguousStatus(status));
     }
     if !head.status.is_server_error() {
         record_health(slot.upstream(), Health::Answered);
-        cx.suspects.record_completion(job);
+        cx.suspects.record_completion(req);
     }
     let mut res = Response::new(full(buf));
     *res.status_mut() = head.status;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,14 +1,13 @@
-//! Takes callers' requests and sends each to an upstream that may run it.
+//! Gateway: accepts callers' requests and forwards each to an upstream that may run it.
 //!
-//! A request is followed through these modules in order: [`serve`] accepts its connection,
-//! [`handle`] finds its route and workspace and reads its body, [`admission`] waits for a slot that
-//! [`balance`] chooses, [`send`] sends it and sorts what came back, [`relay`] passes a stream on, and
-//! [`record`] says in one log line what became of it, with the time that it spent in each of these
-//! ([`spans`]). Who is next, where, and who is refused is decided
-//! by the crate `decide`.
+//! A request passes through these modules: [`serve`] accepts its connection, [`handle`] looks up its route and
+//! workspace and reads its body, [`admission`] queues it for a slot at an upstream that [`balance`] chooses, [`send`]
+//! sends it and classifies the response, [`relay`] relays a stream, and [`record`] logs its outcome in one line, with
+//! the time spent in each phase ([`spans`]). The crate `decide` makes the decisions: the order of the queue, the choice
+//! of the upstream, and refusals.
 //!
-//! What a request says of itself travels in headers whose names belong to the platform; [`Codec`]
-//! holds the functions that read and write them.
+//! Request metadata travels in headers whose names belong to the platform; [`Codec`] holds the functions that parse and
+//! build them.
 
 #![deny(clippy::disallowed_methods)]
 
@@ -70,11 +69,11 @@
 
 pub use serve::run;
 
-/// What everything in a gateway shares.
+/// State shared by all parts of a gateway.
 pub struct Cx {
     /// Settings.
     pub cfg: GatewayCfg,
-    /// Reads and writes the platform's headers.
+    /// Parser and builder of the platform's headers.
     pub codec: Codec,
     /// Configuration in force; `None` until one is known.
     pub catalog: watch::Receiver<Option<Arc<Catalog>>>,
@@ -82,62 +81,62 @@
     pub registry: UpstreamTable,
     /// Failure domains that operators have drained.
     pub drains: Drains,
-    /// Feedback of upstreams in their answers.
+    /// Feedback of upstreams in their responses.
     pub feedback: Feedback,
-    /// Versions of weights that were released.
+    /// Released versions of weights.
     pub releases: Releases,
-    /// Requests waiting for a slot.
+    /// Queues of requests that wait for a slot.
     pub admission: Admission,
-    /// How long ago callers first asked.
+    /// Attempt ages of callers, by route.
     pub attempt_ages: AttemptAges,
-    /// Budget of requests sent again.
+    /// Retry budget.
     pub retry_budget: RetryBudget,
-    /// Requests under which upstreams ended.
+    /// Requests that were running when upstreams exited.
     pub suspects: Arc<Suspects>,
-    /// What other gateways have in flight.
+    /// Requests that other gateways have in flight.
     pub loads: LoadTable,
-    /// Processes that introduced themselves here.
+    /// Processes that introduced themselves to this gateway.
     pub introductions: Introductions,
-    /// Copies of documents.
+    /// Replicas of documents.
     pub mirror: Mirror,
-    /// The configuration.
+    /// Document with the configuration.
     pub configuration: ReplicatedDoc,
-    /// Confirmations of it.
+    /// Confirmations of the configuration.
     pub confirmations: Confirmations,
-    /// The list of upstreams.
+    /// Document with the list of upstreams.
     pub upstream_list: ReplicatedDoc,
-    /// The list of our own processes.
+    /// Document with the list of our own processes.
     pub member_list: ReplicatedDoc,
-    /// Load notes sent so far.
+    /// Number of the next load update.
     pub load_sequence: AtomicU64,
-    /// Whether a newer configuration is waited for, or copied from another failure domain.
+    /// Whether a newer configuration is awaited, or fetched from another failure domain.
     pub catching_up: AtomicBool,
     /// Whether the platform's store can be reached.
     pub reaches_store: watch::Receiver<bool>,
-    /// Documents passed on to others.
+    /// Documents that are served to other processes.
     pub served_documents: Vec<DocName>,
     /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// When it started.
+    /// Start time of this process.
     pub started: Instant,
-    /// Draws that differ from those of other gateways.
+    /// Random hash seed, which differs from that of other gateways.
     pub random_state: RandomHasher,
-    /// Other processes, as they are known now.
+    /// Known addresses of other processes.
     pub peers: watch::Receiver<Peers>,
-    /// Turns true when a planned stop begins.
+    /// Turns true when a graceful shutdown begins.
     pub stop: watch::Receiver<bool>,
 }
 
-/// A document that is copied from other gateways of the failure domain.
+/// State of a document that is replicated from other gateways of the failure domain.
 #[derive(Debug)]
 pub struct ReplicatedDoc {
-    /// Document.
+    /// Name of the document.
     pub name: DocName,
-    /// Revision that is in force here, or was before one that couldn't be decoded; 0 for none.
+    /// Latest revision that was put in force, which excludes those that couldn't be decoded; 0 for none.
     pub in_force: watch::Sender<Revision>,
-    /// Whether it is being copied.
+    /// Whether a fetch is in progress.
     fetching: AtomicBool,
-    /// Whether a newer revision is known of, and the last try to copy it failed.
+    /// Whether a newer revision is known and the last attempt to fetch it failed.
     pub fetch_failed: AtomicBool,
 }
 
@@ -155,18 +154,18 @@
 /// Addresses of other processes.
 #[derive(Debug, Clone, Default)]
 pub struct Peers {
-    /// Whether this gateway is listed itself, so that others know of it.
+    /// Whether this gateway is listed, and thus known to others.
     pub includes_self: bool,
-    /// Where loaders of the own failure domain take datagrams.
+    /// Datagram addresses of the loaders in the own failure domain.
     pub near_loaders: Vec<std::net::SocketAddr>,
-    /// Where other gateways of the own failure domain take datagrams.
+    /// Datagram addresses of the other gateways in the own failure domain.
     pub near_gateways: Map<VmId, std::net::SocketAddr>,
-    /// Where gateways of other failure domains do, by domain.
+    /// Datagram addresses of the gateways in other failure domains, by domain.
     pub far_gateways: Vec<Vec<std::net::SocketAddr>>,
 }
 
 impl Cx {
-    /// A context that knows no upstreams yet.
+    /// Creates a context that knows no upstreams yet.
     pub fn new(deps: Dependencies) -> Cx {
         let cfg = deps.cfg;
         Cx {
@@ -200,34 +199,34 @@
         }
     }
 
-    /// Gateways that share the retry budget, this one among them.
+    /// Returns the number of gateways that share the retry budget, including this one.
     pub fn gateways(&self) -> usize {
         let peers = self.peers.borrow();
         let far: usize = peers.far_gateways.iter().map(Vec::len).sum();
         peers.near_gateways.len() + far + 1
     }
 
-    /// Gateways of the own failure domain, this one among them.
+    /// Returns the number of gateways in the own failure domain, including this one.
     pub fn near_gateways(&self) -> usize {
         self.peers.borrow().near_gateways.len() + 1
     }
 
-    /// Whether callers' requests can be served.
+    /// Returns whether callers' requests can be served.
     pub fn is_ready(&self) -> bool {
         let stopping = *self.stop.borrow();
         !stopping && self.catalog.borrow().is_some() && self.registry.is_loaded()
     }
 }
 
-/// What a gateway is made of.
+/// Dependencies of a gateway, passed to [`Cx::new`].
 pub struct Dependencies {
     /// Settings.
     pub cfg: GatewayCfg,
-    /// Reads and writes the platform's headers.
+    /// Parser and builder of the platform's headers.
     pub codec: Codec,
     /// Configuration in force.
     pub catalog: watch::Receiver<Option<Arc<Catalog>>>,
-    /// Copies of documents.
+    /// Replicas of documents.
     pub mirror: Mirror,
     /// Document with the configuration.
     pub configuration: DocName,
@@ -235,16 +234,16 @@
     pub upstream_list: DocName,
     /// Document with the list of our own processes.
     pub member_list: DocName,
-    /// Documents passed on to others.
+    /// Documents that are served to other processes.
     pub served_documents: Vec<DocName>,
     /// Whether the platform's store can be reached.
     pub reaches_store: watch::Receiver<bool>,
-    /// Has the configuration read from the store at once.
+    /// Notified to have the configuration read from the store at once.
     pub read_store: Arc<Notify>,
-    /// Other processes.
+    /// Addresses of other processes.
     pub peers: watch::Receiver<Peers>,
-    /// Processes that are registered.
+    /// Registered processes.
     pub registered_members: watch::Receiver<Vec<beacon::Member>>,
-    /// Turns true when a planned stop begins.
+    /// Turns true when a graceful shutdown begins.
     pub stop: watch::Receiver<bool>,
 }
--- a/crates/gateway/src/loss.rs
+++ b/crates/gateway/src/loss.rs
@@ -1,8 +1,9 @@
-//! Answers that were lost, and whether the upstream ended with them.
+//! Lost responses, and whether the upstream exited with them.
 //!
-//! A connection that breaks off looks the same whether the upstream ended, cut one answer off, or the network
-//! did. A connection made right afterwards tells them apart: where a process has ended and its VM hasn't,
-//! it's refused at once. Where the VM went too, or the process is back already, the platform's list tells.
+//! A connection that breaks off looks the same whether the upstream exited, cut off a single response, or the network
+//! failed. A connection opened right afterwards tells these cases apart: if the process has exited and its VM is still
+//! up, the connection is refused at once. If the VM is down as well, or the process has already restarted, only the
+//! platform's list shows the exit.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -21,63 +22,63 @@
 /// Log prefix of this part.
 const PART: &str = "loss";
 
-/// Longest wait for a connection that tells whether an upstream has ended. One round trip between failure
-/// domains takes 6 ms; what takes much longer is a VM or a link that is gone, of which nothing follows.
-const PROBE_TIME: Duration = Duration::from_millis(50);
+/// Timeout of the connection that probes whether an upstream has exited. A round trip between failure domains takes
+/// 6 ms; if connecting takes much longer, the VM or the link is down, and nothing follows for the process.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time in which a process that ends closes all of its sockets. A retry after an answer that broke off while its
-/// upstream lives comes so much later.
-const CLOSING_TIME: Duration = Duration::from_millis(10);
+/// Time in which an exiting process closes all of its sockets. A retry after a response that broke off while its
+/// upstream is alive is delayed by this time.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Why no whole answer came of a request that was sent.
+/// Reason why a request that was sent got no complete response. The texts are part of response bodies.
 #[derive(Debug, Clone, Display, PartialEq, Eq)]
 pub enum ResponseLoss {
     /// the connection broke off: {0}
-    BrokeOff(String),
+    Disconnected(String),
     /// the upstream fell silent
-    Silent,
+    Unresponsive,
     /// the answer belongs to another request
-    Foreign,
+    WrongAttempt,
     /// the answer isn't signed
     Unsigned,
     /// status {0} without a refusal
-    Unclear(u16),
+    AmbiguousStatus(u16),
 }
 
 impl std::error::Error for ResponseLoss {}
 
-/// What became of an upstream whose answer was lost.
+/// State of an upstream after a response of it was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// Nothing listens at its address any more.
-    Ended,
-    /// It lives, or nothing is known of it.
+pub(crate) enum UpstreamOutcome {
+    /// No process listens at its address any more.
+    Exited,
+    /// The upstream is alive, or its state is unknown.
     Unknown,
 }
 
-impl Fate {
-    /// Short name for logs.
+impl UpstreamOutcome {
+    /// Returns the short name for logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Fate::Ended => "ended",
-            Fate::Unknown => "broke",
+            UpstreamOutcome::Exited => "ended",
+            UpstreamOutcome::Unknown => "broke",
         }
     }
 }
 
-/// Notes that an upstream's answer to a request was lost, and finds out whether the upstream ended.
-pub(crate) async fn note(
+/// Records that an upstream's response was lost, and probes whether the upstream has exited.
+pub(crate) async fn record(
     cx: &Cx,
     job: &RoutedRequest,
     upstream: &Arc<Upstream>,
     loss: &ResponseLoss,
-) -> Fate {
-    let fate = match loss {
-        ResponseLoss::BrokeOff(_) if refuses(upstream).await => Fate::Ended,
-        _ => Fate::Unknown,
+) -> UpstreamOutcome {
+    let outcome = match loss {
+        ResponseLoss::Disconnected(_) if has_exited(upstream).await => UpstreamOutcome::Exited,
+        _ => UpstreamOutcome::Unknown,
     };
-    match (fate, loss) {
-        (Fate::Ended, _) => {
+    match (outcome, loss) {
+        (UpstreamOutcome::Exited, _) => {
             record_health(upstream, Health::Unreachable);
             info!(
                 target: PART,
@@ -86,49 +87,48 @@
             );
             cx.suspects.record_exit(job, upstream);
         }
-        // It was noted as a failure when it came.
-        (Fate::Unknown, ResponseLoss::Unclear(_)) => {}
-        (Fate::Unknown, _) => {
+        // A server error was already recorded as a failure when its head arrived.
+        (UpstreamOutcome::Unknown, ResponseLoss::AmbiguousStatus(_)) => {}
+        (UpstreamOutcome::Unknown, _) => {
             record_health(upstream, Health::Failed);
             cx.suspects.record_lost_response(job, upstream);
         }
     }
-    metrics::counter!("driftnotch_lost_answers_total", "upstream" => fate.name()).increment(1);
-    fate
+    metrics::counter!("driftnotch_lost_answers_total", "upstream" => outcome.name()).increment(1);
+    outcome
 }
 
-/// Whether a connection to an upstream is refused, or closed at once and then refused: a process that ends
-/// closes its connections one after the other, and what it listens on may be the last.
-async fn refuses(upstream: &Upstream) -> bool {
-    match connect(upstream).await {
+/// Returns whether an upstream refuses a connection, or closes it at once and refuses the next one: an exiting
+/// process closes its sockets one after the other, and its listener may be the last.
+async fn has_exited(upstream: &Upstream) -> bool {
+    match probe(upstream).await {
         Probe::Refused => true,
         Probe::Unknown => false,
         Probe::Connected(stream) => {
-            closes(stream).await && matches!(connect(upstream).await, Probe::Refused)
+            is_closed_at_once(stream).await && matches!(probe(upstream).await, Probe::Refused)
         }
     }
 }
 
-/// What came of a connection made to find out.
+/// Result of a probe connection.
 enum Probe {
     Connected(TcpStream),
     Refused,
     Unknown,
 }
 
-async fn connect(upstream: &Upstream) -> Probe {
+async fn probe(upstream: &Upstream) -> Probe {
     let connecting = TcpStream::connect(upstream.addr);
-    match tokio::time::timeout(PROBE_TIME, connecting).await {
+    match tokio::time::timeout(PROBE_TIMEOUT, connecting).await {
         Ok(Ok(stream)) => Probe::Connected(stream),
         Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => Probe::Refused,
         Ok(Err(_)) | Err(_) => Probe::Unknown,
     }
 }
 
-/// Whether a connection on which nothing was asked is closed at once; an upstream that lives waits for a
-/// request.
-async fn closes(mut stream: TcpStream) -> bool {
+/// Returns whether a connection without a request is closed at once; an upstream that is alive waits for a request.
+async fn is_closed_at_once(mut stream: TcpStream) -> bool {
     let mut buf = [0; 1];
-    let read = tokio::time::timeout(CLOSING_TIME, stream.read(&mut buf)).await;
+    let read = tokio::time::timeout(CLOSE_TIMEOUT, stream.read(&mut buf)).await;
     matches!(read, Ok(Ok(0) | Err(_)))
 }
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -1,4 +1,4 @@
-//! One log line and the metrics of each request, written when it is over.
+//! Log line and metrics of each request, written when the request ends.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,102 +10,102 @@
 /// Log prefix of this part.
 const PART: &str = "request";
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
-    /// The caller left before it had its answer.
+pub enum RequestOutcome {
+    /// The caller disconnected before it had its response.
     CallerLeft,
-    /// An upstream's answer was passed on whole.
+    /// The complete response of an upstream was relayed; its status.
     Answered(u16),
-    /// The gateway answered itself.
+    /// The gateway refused the request or gave it up; status and reason.
     Refused(u16, &'static str),
-    /// A stream was cut off after it had begun.
+    /// A stream was cut off after its first event; the reason.
     Cut(&'static str),
 }
 
-/// What is known of a request.
+/// Record of a request, logged when it is dropped.
 #[derive(Debug)]
-pub struct Record {
+pub struct RequestRecord {
     arrived: Instant,
-    /// Attempt.
-    pub id: String,
-    /// Route.
+    /// Id of the attempt.
+    pub attempt_id: String,
+    /// Name of the route.
     pub route: String,
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// Revision of the configuration that decided.
-    pub revision: u64,
-    /// Milliseconds since the store had confirmed it.
-    pub confirmed_ms: u64,
-    /// Milliseconds the caller waits.
-    pub patience_ms: u64,
-    /// Milliseconds since the caller first asked, as far as that can be told.
-    pub waited_ms: u64,
-    /// Upstreams it was sent to, and what came of each.
-    pub tries: String,
+    /// Revision of the configuration that was applied.
+    pub config_revision: u64,
+    /// Milliseconds since the store last confirmed that revision.
+    pub config_age_ms: u64,
+    /// Timeout in milliseconds.
+    pub timeout_ms: u64,
+    /// Milliseconds since the caller's first attempt, if known.
+    pub attempt_age_ms: u64,
+    /// Upstreams that were tried, each with its result.
+    pub attempts: String,
     /// Milliseconds until the first event.
     pub first_event_ms: Option<u64>,
-    /// Milliseconds of the longest pause between events.
-    pub longest_gap_ms: u64,
-    /// Where its time went.
+    /// Longest time between two events, in milliseconds.
+    pub max_gap_ms: u64,
+    /// Time spent in each span.
     pub spans: Arc<Spans>,
-    /// How it ended.
-    pub ending: Ending,
+    /// Outcome.
+    pub outcome: RequestOutcome,
 }
 
-impl Record {
-    /// A record of a request that just arrived.
-    pub fn new(arrived: Instant) -> Record {
-        Record {
+impl RequestRecord {
+    /// Creates the record of a request that has just arrived.
+    pub fn new(arrived: Instant) -> RequestRecord {
+        RequestRecord {
             arrived,
-            id: String::new(),
+            attempt_id: String::new(),
             route: String::new(),
             service: String::new(),
             workspace: String::new(),
-            revision: 0,
-            confirmed_ms: 0,
-            patience_ms: 0,
-            waited_ms: 0,
-            tries: String::new(),
+            config_revision: 0,
+            config_age_ms: 0,
+            timeout_ms: 0,
+            attempt_age_ms: 0,
+            attempts: String::new(),
             first_event_ms: None,
-            longest_gap_ms: 0,
+            max_gap_ms: 0,
             spans: Arc::default(),
-            ending: Ending::CallerLeft,
+            outcome: RequestOutcome::CallerLeft,
         }
     }
 
-    /// Notes what came of one upstream.
-    pub fn tried(&mut self, upstream: &str, what: &str) {
-        if !self.tries.is_empty() {
-            self.tries.push(',');
+    /// Records the result of one upstream.
+    pub fn record_attempt(&mut self, upstream: &str, result: &str) {
+        if !self.attempts.is_empty() {
+            self.attempts.push(',');
         }
-        self.tries.push_str(upstream);
-        self.tries.push('=');
-        self.tries.push_str(what);
+        self.attempts.push_str(upstream);
+        self.attempts.push('=');
+        self.attempts.push_str(result);
     }
 
-    /// Milliseconds since the request arrived.
+    /// Returns the milliseconds since the request arrived.
     pub fn elapsed_ms(&self) -> u64 {
         clock::since(self.arrived).as_millis() as u64
     }
 }
 
-impl Drop for Record {
+impl Drop for RequestRecord {
     fn drop(&mut self) {
-        let took_ms = self.elapsed_ms();
-        let (ending, status, why) = match self.ending {
-            Ending::CallerLeft => ("caller_left", 0, "-"),
-            Ending::Answered(status) => ("answered", status, "-"),
-            Ending::Refused(status, why) => ("refused", status, why),
-            Ending::Cut(why) => ("cut", 0, why),
+        let elapsed_ms = self.elapsed_ms();
+        let (ending, status, why) = match self.outcome {
+            RequestOutcome::CallerLeft => ("caller_left", 0, "-"),
+            RequestOutcome::Answered(status) => ("answered", status, "-"),
+            RequestOutcome::Refused(status, why) => ("refused", status, why),
+            RequestOutcome::Cut(why) => ("cut", 0, why),
         };
         let first = self.first_event_ms.map_or(-1, |ms| ms as i64);
         let route = self.route.clone();
         metrics::counter!("driftnotch_requests_total", "route" => route.clone(), "ending" => ending)
             .increment(1);
-        if let Ending::Refused(_, why) = self.ending {
+        if let RequestOutcome::Refused(_, why) = self.outcome {
             metrics::counter!("driftnotch_refusals_total", "why" => why).increment(1);
         }
         if let Some(ms) = self.first_event_ms {
@@ -115,8 +115,8 @@
         self.spans.record(&self.route);
         info!(
             target: PART,
-            "{PART}: id={} route={} service={} workspace={} revision={} confirmed_ms={} patience_ms={} waited_ms={} tries={} ending={ending} status={status} why=\"{why}\" first_event_ms={first} longest_gap_ms={} took_ms={took_ms} spans_ms={}",
-            self.id, self.route, self.service, self.workspace, self.revision, self.confirmed_ms, self.patience_ms, self.waited_ms, self.tries, self.longest_gap_ms, self.spans,
+            "{PART}: id={} route={} service={} workspace={} revision={} confirmed_ms={} patience_ms={} waited_ms={} tries={} ending={ending} status={status} why=\"{why}\" first_event_ms={first} longest_gap_ms={} took_ms={elapsed_ms} spans_ms={}",
+            self.attempt_id, self.route, self.service, self.workspace, self.config_revision, self.config_age_ms, self.timeout_ms, self.attempt_age_ms, self.attempts, self.max_gap_ms, self.spans,
         );
     }
 }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,9 +1,9 @@
-//! Final answers of the gateway's own.
+//! Final responses that the gateway generates itself.
 //!
-//! 503 says that the request has not run and never will; it is given only where nothing was sent,
-//! or where every upstream it was sent to refused it for certain. Everything else after sending is
-//! 502 or 504, which promise nothing. So is what is held back since upstreams end under it: earlier attempts
-//! of it have run, and to come back soon helps nobody.
+//! Status 503 promises that the request has not run and never will. It is returned only if nothing was sent, or if
+//! every upstream that received the request rejected it for certain. All other responses after sending are 502 or
+//! 504, which promise nothing. A request that is quarantined because upstreams exit while running it gets 502 as
+//! well: earlier attempts of it have run, and an early retry doesn't help.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use web::{Response, text};
 
-/// Why the gateway answers itself.
+/// Reason why the gateway refuses a request or gives it up. The texts are the bodies of the responses.
 #[derive(Debug, Clone, Display, PartialEq)]
 pub enum Refusal {
     /// the head can't be read: {0}
@@ -53,7 +53,7 @@
 impl std::error::Error for Refusal {}
 
 impl Refusal {
-    /// Status of the answer.
+    /// Returns the status of the response.
     pub fn status(&self) -> u16 {
         match self {
             Refusal::BadHead(_) => 400,
@@ -75,22 +75,22 @@
         }
     }
 
-    /// When to come back.
+    /// Returns the delay after which to retry, if a retry is suggested.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Refusal::NotReady(after)
-            | Refusal::Unconfirmed(after)
-            | Refusal::Busy(after)
-            | Refusal::NoUpstream(after)
-            | Refusal::NotBefore(after)
-            | Refusal::NotTaken(after)
-            | Refusal::Suspect(after)
-            | Refusal::NoTime(after) => Some(*after),
+            Refusal::NotReady(delay)
+            | Refusal::Unconfirmed(delay)
+            | Refusal::Busy(delay)
+            | Refusal::NoUpstream(delay)
+            | Refusal::NotBefore(delay)
+            | Refusal::NotTaken(delay)
+            | Refusal::Suspect(delay)
+            | Refusal::NoTime(delay) => Some(*delay),
             _ => None,
         }
     }
 
-    /// Short name for logs and metrics.
+    /// Returns the short name for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Refusal::BadHead(_) => "bad_head",
@@ -113,12 +113,12 @@
         }
     }
 
-    /// The answer.
-    pub fn answer(&self) -> Response {
+    /// Returns the response.
+    pub fn response(&self) -> Response {
         let mut res = text(self.status(), format!("{self}\n"));
-        if let Some(after) = self.retry_after() {
-            let seconds = format!("{:.2}", after.as_secs_f64());
-            let value = HeaderValue::from_str(&seconds).expect("digits and a point");
+        if let Some(delay) = self.retry_after() {
+            let seconds = format!("{:.2}", delay.as_secs_f64());
+            let value = HeaderValue::from_str(&seconds).expect("digits and a decimal point");
             res.headers_mut().insert(RETRY_AFTER, value);
         }
         res
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,9 +1,8 @@
-//! Passes a stream on, event by event.
+//! Relays an event stream from upstreams to the caller.
 //!
-//! The head is sent to the caller with the first event, so until then another upstream may be tried
-//! as for any request. Only whole events are passed on. Where the upstream breaks off or falls
-//! silent and the route allows it, the stream goes on at another upstream after the last event that
-//! was passed on, under the head of the first.
+//! The head is sent to the caller together with the first event; until then another upstream may be tried, as for any
+//! request. Only complete events are relayed. If the upstream breaks off or becomes unresponsive and the route allows
+//! it, the stream is resumed at another upstream after the last relayed event, under the head of the first upstream.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,81 +16,81 @@
 use web::{BodyError, Response};
 
 use crate::Cx;
-use crate::admission::slot;
+use crate::admission::acquire_slot;
 use crate::connection::Connection;
-use crate::events::Events;
-use crate::handle::MOST_UNREACHABLE;
-use crate::loss::{self, Fate, ResponseLoss};
-use crate::record::{Ending, Record};
+use crate::events::EventBuffer;
+use crate::handle::MAX_UNREACHABLE;
+use crate::loss::{self, ResponseLoss, UpstreamOutcome};
+use crate::record::{RequestOutcome, RequestRecord};
 use crate::request::RoutedRequest;
-use crate::send::{Answer, Sent, record_health, response_timeout, send};
+use crate::send::{SendOutcome, UpstreamResponse, record_health, response_timeout, send};
 use crate::spans::Span;
 use crate::suspects::wait_until_permitted;
 use crate::upstream::{Health, Slot, Upstream};
 
-/// How long a stream that is to go on waits for an upstream with room.
-const RESUME_WAIT: Duration = Duration::from_millis(250);
+/// Maximum wait of a stream that is to be resumed for a slot at another upstream.
+const RESUME_SLOT_WAIT: Duration = Duration::from_millis(250);
 
-/// A stream at one upstream.
-pub struct Stream {
+/// Event stream of a request, read from one upstream at a time.
+pub struct EventStream {
     cx: Arc<Cx>,
-    job: Arc<RoutedRequest>,
+    req: Arc<RoutedRequest>,
     service: Arc<Service>,
     head: response::Parts,
-    source: Source,
+    source: EventSource,
 }
 
-/// Where events come from.
-struct Source {
+/// Response body of an upstream, split into events.
+struct EventSource {
     body: Incoming,
-    // Closed when the stream ends, which ends the upstream's work.
+    // Closed when dropped, which cancels the upstream's work.
     _connection: Connection,
     slot: Slot,
-    events: Events,
+    events: EventBuffer,
 }
 
-/// What the next bytes of a source are.
-enum Next {
+/// Next item of a source.
+enum Item {
     Events(Bytes),
     End,
     Lost(ResponseLoss),
 }
 
-/// A stream whose first event has come.
-pub struct Begun {
-    stream: Stream,
+/// Stream whose first event has arrived.
+pub struct StartedStream {
+    stream: EventStream,
     first: Bytes,
     tried: Vec<Arc<Upstream>>,
     sent: u32,
 }
 
-impl Stream {
-    /// A stream whose head has come.
+impl EventStream {
+    /// Creates a stream from a response.
     pub fn new(
         cx: &Arc<Cx>,
-        job: &Arc<RoutedRequest>,
+        req: &Arc<RoutedRequest>,
         service: &Arc<Service>,
-        answer: Answer,
+        response: UpstreamResponse,
         slot: Slot,
-    ) -> Stream {
-        let Answer {
+    ) -> EventStream {
+        let UpstreamResponse {
             head,
             body,
             connection,
-        } = answer;
-        Stream {
+        } = response;
+        EventStream {
             cx: cx.clone(),
-            job: job.clone(),
+            req: req.clone(),
             service: service.clone(),
             head,
-            source: Source::new(body, connection, slot, Events::default()),
+            source: EventSource::new(body, connection, slot, EventBuffer::default()),
         }
     }
 }
 
-impl Source {
-    fn new(body: Incoming, connection: Connection, slot: Slot, events: Events) -> Source {
-        Source {
+impl EventSource {
+    fn new(body: Incoming, connection: Connection, slot: Slot, events: EventBuffer) -> EventSource {
+        EventSource {
             body,
             _connection: connection,
             slot,
@@ -99,12 +98,12 @@
         }
     }
 
-    async fn next(&mut self, deadline: Instant, patience: Duration) -> Next {
-        let until = (clock::now() + patience).min(deadline);
+    async fn next(&mut self, deadline: Instant, timeout: Duration) -> Item {
+        let until = (clock::now() + timeout).min(deadline);
         loop {
-            if let Some(whole) = self.events.take() {
+            if let Some(complete) = self.events.take_complete() {
                 self.slot.record_first_event();
-                return Next::Events(whole);
+                return Item::Events(complete);
             }
             let frame = clock::timeout_at(until, self.body.frame()).await;
             match frame {
@@ -113,42 +112,44 @@
                         self.events.push(data);
                     }
                 }
-                Ok(None) if self.events.is_whole() => return Next::End,
+                Ok(None) if self.events.is_complete() => return Item::End,
                 Ok(None) => {
-                    return Next::Lost(ResponseLoss::BrokeOff(
+                    return Item::Lost(ResponseLoss::Disconnected(
                         "it ended within an event".to_owned(),
                     ));
                 }
-                Ok(Some(Err(e))) => return Next::Lost(ResponseLoss::BrokeOff(e.to_string())),
-                Err(_) => return Next::Lost(ResponseLoss::Silent),
+                Ok(Some(Err(e))) => {
+                    return Item::Lost(ResponseLoss::Disconnected(e.to_string()));
+                }
+                Err(_) => return Item::Lost(ResponseLoss::Unresponsive),
             }
         }
     }
 }
 
-/// Waits for the first event; the error says why none came, and what became of the upstream.
-pub async fn begin(
-    mut stream: Stream,
+/// Waits for the first event. The error is why there was none, and the state of the upstream.
+pub async fn start(
+    mut stream: EventStream,
     tried: Vec<Arc<Upstream>>,
     sent: u32,
-) -> Result<Begun, (ResponseLoss, Fate)> {
-    let patience = response_timeout(&stream.cx, &stream.job, &stream.source.slot);
-    let begun = clock::now();
-    let next = stream.source.next(stream.job.deadline, patience).await;
-    stream.job.spans.add(Span::FirstEvent, begun);
-    let first = match next {
-        Next::Events(first) => {
+) -> Result<StartedStream, (ResponseLoss, UpstreamOutcome)> {
+    let timeout = response_timeout(&stream.cx, &stream.req, &stream.source.slot);
+    let started = clock::now();
+    let item = stream.source.next(stream.req.deadline, timeout).await;
+    stream.req.spans.add(Span::FirstEvent, started);
+    let first = match item {
+        Item::Events(first) => {
             record_health(stream.source.slot.upstream(), Health::Answered);
             first
         }
-        Next::End => Bytes::new(),
-        Next::Lost(loss) => {
+        Item::End => Bytes::new(),
+        Item::Lost(loss) => {
             let upstream = stream.source.slot.upstream();
-            let fate = loss::note(&stream.cx, &stream.job, upstream, &loss).await;
-            return Err((loss, fate));
+            let outcome = loss::record(&stream.cx, &stream.req, upstream, &loss).await;
+            return Err((loss, outcome));
         }
     };
-    Ok(Begun {
+    Ok(StartedStream {
         stream,
         first,
         tried,
@@ -156,26 +157,26 @@
     })
 }
 
-/// Whether a request reached an upstream.
-enum Reached {
-    Yes,
-    No,
+/// Result of resuming a stream at an upstream.
+enum ResumeResult {
+    Resumed,
+    Unreachable,
 }
 
-/// What is left of a stream after its first event.
-struct Rest {
-    stream: Stream,
+/// Stream after its head was sent, with what is needed to resume it.
+struct RelayedStream {
+    stream: EventStream,
     first: Option<Bytes>,
     tried: Vec<Arc<Upstream>>,
     sent: u32,
-    passed: Instant,
-    record: Record,
+    last_relayed: Instant,
+    record: RequestRecord,
 }
 
-impl Begun {
-    /// The answer: the head, the first event, and the others as they come.
-    pub fn respond(self, mut record: Record) -> Response {
-        let Begun {
+impl StartedStream {
+    /// Returns the response: the head, the first event, and all further events as they arrive.
+    pub fn respond(self, mut record: RequestRecord) -> Response {
+        let StartedStream {
             stream,
             first,
             tried,
@@ -185,18 +186,18 @@
         let mut res = hyper::Response::new(());
         *res.status_mut() = stream.head.status;
         *res.headers_mut() = (stream.cx.codec.response_headers)(&stream.head.headers);
-        let rest = Rest {
+        let relayed = RelayedStream {
             stream,
             first: Some(first),
             tried,
             sent,
-            passed: clock::now(),
+            last_relayed: clock::now(),
             record,
         };
-        let events = stream::unfold(Some(rest), |rest| async move {
-            let mut rest = rest?;
-            match rest.next().await {
-                Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(rest))),
+        let events = stream::unfold(Some(relayed), |relayed| async move {
+            let mut relayed = relayed?;
+            match relayed.next().await {
+                Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relayed))),
                 Ok(None) => None,
                 Err(e) => Some((Err(e), None)),
             }
@@ -205,124 +206,125 @@
     }
 }
 
-impl Rest {
-    /// The next events; `None` at the end of the stream.
+impl RelayedStream {
+    /// Returns the next events; `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
         if let Some(first) = self.first.take().filter(|b| !b.is_empty()) {
             return Ok(Some(first));
         }
         loop {
-            let patience = self
+            let timeout = self
                 .stream
-                .job
+                .req
                 .response_timeout(self.stream.cx.cfg.stall_time);
-            let deadline = self.stream.job.deadline;
-            match self.stream.source.next(deadline, patience).await {
-                Next::Events(bytes) => {
-                    let gap = clock::since(self.passed).as_millis() as u64;
-                    self.record.longest_gap_ms = self.record.longest_gap_ms.max(gap);
-                    self.passed = clock::now();
+            let deadline = self.stream.req.deadline;
+            match self.stream.source.next(deadline, timeout).await {
+                Item::Events(bytes) => {
+                    let gap = clock::since(self.last_relayed).as_millis() as u64;
+                    self.record.max_gap_ms = self.record.max_gap_ms.max(gap);
+                    self.last_relayed = clock::now();
                     return Ok(Some(bytes));
                 }
-                Next::End => {
-                    self.stream.cx.suspects.record_completion(&self.stream.job);
+                Item::End => {
+                    self.stream.cx.suspects.record_completion(&self.stream.req);
                     let status = self.stream.head.status.as_u16();
-                    self.record.ending = Ending::Answered(status);
+                    self.record.outcome = RequestOutcome::Answered(status);
                     return Ok(None);
                 }
-                Next::Lost(loss) => self.resume(&loss).await?,
+                Item::Lost(loss) => self.resume(&loss).await?,
             }
         }
     }
 
-    /// Goes on at another upstream after the last event passed on.
+    /// Records that the upstream's response was lost, and resumes the stream at another upstream.
     async fn resume(&mut self, loss: &ResponseLoss) -> Result<(), BodyError> {
         let broken = self.stream.source.slot.upstream().clone();
-        let fate = loss::note(&self.stream.cx, &self.stream.job, &broken, loss).await;
-        self.record.tried(&broken.instance, fate.name());
-        log::debug!(target: "relay", "relay: event=broke id={} upstream={} why=\"{loss}\"", self.stream.job.metadata.attempt_id, broken.instance);
-        // What it may have shown is noted by now.
+        let outcome = loss::record(&self.stream.cx, &self.stream.req, &broken, loss).await;
+        self.record.record_attempt(&broken.instance, outcome.name());
+        log::debug!(target: "relay", "relay: event=broke id={} upstream={} why=\"{loss}\"", self.stream.req.metadata.attempt_id, broken.instance);
+        // The result of the trial is already recorded.
         self.stream.source.slot.trial = None;
-        self.go_on().await.map_err(|why| {
-            self.record.ending = Ending::Cut(why);
+        self.fail_over().await.map_err(|why| {
+            self.record.outcome = RequestOutcome::Cut(why);
             BodyError::Cut(why)
         })
     }
 
-    /// Finds an upstream that goes on; the error says why there is none.
-    async fn go_on(&mut self) -> Result<(), &'static str> {
-        let (cx, job) = (self.stream.cx.clone(), self.stream.job.clone());
-        if job.remaining().is_zero() {
+    /// Resumes the stream at another upstream. The error is why that is impossible.
+    async fn fail_over(&mut self) -> Result<(), &'static str> {
+        let (cx, req) = (self.stream.cx.clone(), self.stream.req.clone());
+        if req.remaining().is_zero() {
             return Err("the time is over");
         }
-        if !job.is_retryable() || self.sent >= job.route.max_attempts {
+        if !req.is_retryable() || self.sent >= req.route.max_attempts {
             return Err("the upstream broke off");
         }
-        let mut slot = self.slot().await?;
+        let mut slot = self.acquire_slot().await?;
         if !cx
             .retry_budget
-            .withdraw(&job.service, cx.gateways(), clock::now())
+            .withdraw(&req.service, cx.gateways(), clock::now())
         {
             return Err("the retry budget is used up");
         }
-        for _ in 0..MOST_UNREACHABLE {
-            match self.send_on(slot).await? {
-                Reached::Yes => return Ok(()),
-                // Others that ended with it are found one by one; none of them costs an attempt.
-                Reached::No => slot = self.slot().await?,
+        for _ in 0..MAX_UNREACHABLE {
+            match self.resume_at(slot).await? {
+                ResumeResult::Resumed => return Ok(()),
+                // Upstreams that exited together are found one by one; none of them counts as an attempt.
+                ResumeResult::Unreachable => slot = self.acquire_slot().await?,
             }
         }
         Err("no upstream can be reached")
     }
 
-    /// Waits for a slot at an upstream that wasn't tried yet.
-    async fn slot(&self) -> Result<Slot, &'static str> {
-        let Stream {
-            cx, job, service, ..
+    /// Waits for a slot at an upstream that hasn't been tried yet.
+    async fn acquire_slot(&self) -> Result<Slot, &'static str> {
+        let EventStream {
+            cx, req, service, ..
         } = &self.stream;
-        let suspect = |_| "upstreams ended under it";
-        let care = wait_until_permitted(cx, job).await.map_err(suspect)?;
-        let until = (clock::now() + RESUME_WAIT).min(job.deadline);
-        let slot = slot(cx, job, service, &self.tried, care, until).await;
+        let refused = |_| "upstreams ended under it";
+        let isolation = wait_until_permitted(cx, req).await.map_err(refused)?;
+        let until = (clock::now() + RESUME_SLOT_WAIT).min(req.deadline);
+        let slot = acquire_slot(cx, req, service, &self.tried, isolation, until).await;
         let mut slot = slot.map_err(|_| "no upstream can go on")?;
-        // What is known of it may have changed while it waited.
+        // The request may have become a suspect while it was queued.
         slot.trial = cx
             .suspects
-            .begin_trial(job, slot.upstream().addr)
+            .begin_trial(req, slot.upstream().addr)
             .await
-            .map_err(suspect)?;
+            .map_err(refused)?;
         Ok(slot)
     }
 
-    /// Has the slot's upstream go on after the last event passed on.
-    async fn send_on(&mut self, slot: Slot) -> Result<Reached, &'static str> {
-        let (cx, job) = (self.stream.cx.clone(), self.stream.job.clone());
-        let last = self.stream.source.events.last().cloned();
-        let last = last.or_else(|| job.metadata.last_event_id.clone());
+    /// Asks the slot's upstream to resume the stream after the last relayed event.
+    async fn resume_at(&mut self, slot: Slot) -> Result<ResumeResult, &'static str> {
+        let (cx, req) = (self.stream.cx.clone(), self.stream.req.clone());
+        let last_id = self.stream.source.events.last_id().cloned();
+        let last_id = last_id.or_else(|| req.metadata.last_event_id.clone());
         let instance = slot.upstream().instance.clone();
         self.tried.push(slot.upstream().clone());
-        let sent = send(&cx, &job, &slot, last.as_deref()).await;
-        if let Sent::Unreached(_) = sent {
-            self.record.tried(&instance, sent.name());
-            return Ok(Reached::No);
+        let sent = send(&cx, &req, &slot, last_id.as_deref()).await;
+        if let SendOutcome::Unreached(_) = sent {
+            self.record.record_attempt(&instance, sent.name());
+            return Ok(ResumeResult::Unreachable);
         }
         self.sent += 1;
         match sent {
-            Sent::Lost(loss) => {
-                let fate = loss::note(&cx, &job, slot.upstream(), &loss).await;
-                self.record.tried(&instance, fate.name());
+            SendOutcome::Lost(loss) => {
+                let outcome = loss::record(&cx, &req, slot.upstream(), &loss).await;
+                self.record.record_attempt(&instance, outcome.name());
                 Err("no upstream went on")
             }
-            Sent::Answer(answer) if answer.head.status.is_success() => {
-                self.record.tried(&instance, "answer");
-                // The last event passed on is kept, should this upstream break off before its first.
+            SendOutcome::Response(response) if response.head.status.is_success() => {
+                self.record.record_attempt(&instance, "answer");
+                // The last event id is retained, in case this upstream breaks off before its first event.
                 let mut events = std::mem::take(&mut self.stream.source.events);
-                events.drop_part();
-                self.stream.source = Source::new(answer.body, answer.connection, slot, events);
-                Ok(Reached::Yes)
+                events.discard_partial();
+                self.stream.source =
+                    EventSource::new(response.body, response.connection, slot, events);
+                Ok(ResumeResult::Resumed)
             }
             other => {
-                self.record.tried(&instance, other.name());
+                self.record.record_attempt(&instance, other.name());
                 Err("no upstream went on")
             }
         }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! What a request and an answer say of themselves.
+//! Metadata of requests and responses, and the request as it passes through the gateway.
 
 use std::fmt;
 use std::sync::{Arc, OnceLock};
@@ -14,88 +14,88 @@
 
 use crate::spans::Spans;
 
-/// Id that a caller gave one attempt.
+/// Id of one attempt, given by the caller.
 pub type AttemptId = String;
 
-/// Id of an event of a stream.
+/// Id of an event in a stream.
 pub type EventId = String;
 
-/// What a caller says of its request.
+/// Metadata of a request, from its head.
 #[derive(Debug, Clone, Default)]
 pub struct RequestMetadata {
-    /// Id of the caller's attempt.
+    /// Id of the attempt.
     pub attempt_id: AttemptId,
-    /// How long the caller waits.
+    /// Caller's timeout.
     pub timeout: Option<Duration>,
-    /// Key it shows.
+    /// API key of the caller.
     pub key: Option<ApiKey>,
-    /// Host it names.
+    /// Requested host.
     pub host: String,
-    /// Model it asks for.
+    /// Requested model.
     pub model: Option<Model>,
-    /// Size of its prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Most tokens it wants generated.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// The caller's estimate of the tokens that will be generated.
+    /// Caller's estimate of the number of generated tokens.
     pub expected_tokens: Option<u64>,
-    /// Last part of the prompt that other requests share: its session or subject.
+    /// Last part of the prompt that other requests share, such as its session or subject.
     pub shared_prefix: Option<String>,
-    /// Event after which a stream is to go on.
+    /// Event after which to resume a stream.
     pub last_event_id: Option<EventId>,
 }
 
-/// What an upstream is told beside what the caller sent.
+/// Metadata that the gateway adds to a request for an upstream.
 #[derive(Debug)]
 pub struct ForwardMetadata<'a> {
-    /// Time left.
+    /// Time until the deadline.
     pub remaining: Duration,
-    /// Incarnation that alone may run the request.
+    /// The only instance that may run the request.
     pub instance: &'a str,
-    /// Version of the weights that alone may run it.
+    /// The only version of the weights that may run it.
     pub version: Option<WeightsVersion>,
-    /// The caller's workspace.
+    /// Workspace of the caller.
     pub workspace: Option<&'a str>,
-    /// Rank.
+    /// Priority, 0 being the most urgent.
     pub priority: u8,
-    /// Event after which a stream is to go on, where it isn't the caller's.
+    /// Event after which to resume a stream, in place of the caller's.
     pub last_event_id: Option<&'a str>,
 }
 
-/// Value of a header that an upstream may add to an answer.
+/// Value of an optional header in an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub enum Advertised<T> {
-    /// The header isn't there.
+    /// The header is absent.
     #[default]
     Absent,
-    /// Its value.
+    /// Parsed value.
     Value(T),
-    /// Its text, which can't be parsed.
+    /// Text that can't be parsed.
     Invalid(String),
 }
 
-/// What the head of an answer says.
+/// Metadata of a response, from its head.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseMetadata {
-    /// Attempt that it answers.
+    /// Attempt that the response answers.
     pub attempt_id: Option<AttemptId>,
     /// Whether the upstream signed it.
     pub is_signed: bool,
-    /// Whether the request has not run and never will.
+    /// Whether the upstream guarantees that the request has not run and never will.
     pub not_run: bool,
-    /// Incarnation that answered.
+    /// Instance that answered.
     pub instance: Option<String>,
-    /// Time for which the upstream stays cold, where it says so.
+    /// Time for which the upstream stays cold, if stated.
     pub cold_for: Option<Duration>,
-    /// Requests a second that the upstream takes of all gateways together.
+    /// Requests a second that the upstream accepts from all gateways together.
     pub rate_limit: Advertised<f64>,
     /// Whether the upstream is draining.
     pub draining: Advertised<bool>,
-    /// Time for which an upstream that rejects the request wants no others of this gateway.
+    /// Time for which an upstream that rejects the request wants no further ones from this gateway.
     pub back_off: Advertised<Duration>,
 }
 
-/// Why a head can't be read.
+/// Reason why a request head is invalid.
 #[derive(Debug)]
 pub struct InvalidHead(pub String);
 
@@ -105,60 +105,59 @@
     }
 }
 
-/// Functions that read and write the platform's headers.
+/// Functions that parse and build the platform's headers.
 #[derive(Debug, Clone, Copy)]
 pub struct Codec {
-    /// Reads a request's head.
+    /// Parses the head of a request.
     pub parse_request: fn(&request::Parts) -> Result<RequestMetadata, InvalidHead>,
-    /// Headers for an upstream, from those that the caller sent.
+    /// Builds the headers for an upstream from those of the caller.
     pub request_headers: fn(&HeaderMap, &ForwardMetadata<'_>) -> HeaderMap,
-    /// Reads an answer's head.
+    /// Parses the head of a response.
     pub parse_response: fn(&response::Parts) -> ResponseMetadata,
-    /// Headers for the caller, from those that the upstream sent.
+    /// Builds the headers for the caller from those of the upstream.
     pub response_headers: fn(&HeaderMap) -> HeaderMap,
 }
 
-/// A whole request on its way, with what was decided on it.
+/// A complete request with the routing decisions made for it.
 #[derive(Debug)]
 pub struct RoutedRequest {
-    /// What it says of itself.
+    /// Metadata from its head.
     pub metadata: RequestMetadata,
     /// Method, path and headers as the caller sent them.
     pub head: request::Parts,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
     /// Route.
     pub route: Arc<Route>,
-    /// Service drawn from the route's shares.
+    /// Service, drawn at random by the route's shares.
     pub service: ServiceName,
-    /// Who called; `None` on public routes without a known key.
+    /// Workspace of the caller; `None` on public routes without a known key.
     pub workspace: Option<Arc<WorkspacePolicy>>,
-    /// Whether it can still be served in its objective.
+    /// Whether it can still be served within its objective.
     pub deadline_class: DeadlineClass,
-    /// When its head was read.
+    /// When the head was read.
     pub arrived: Instant,
-    /// When it gets its final answer at the latest.
+    /// Latest time for the final response.
     pub deadline: Instant,
-    /// Where its time goes.
+    /// Time spent in each span.
     pub spans: Arc<Spans>,
-    /// Filled in by [`RoutedRequest::fingerprint`].
+    /// Cached result of [`RoutedRequest::fingerprint`].
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
 impl RoutedRequest {
-    /// Rank, 0 being the most urgent.
+    /// Returns the priority, 0 being the most urgent.
     pub fn priority(&self) -> u8 {
-        let own = self.workspace.as_ref().and_then(|t| t.priority);
+        let own = self.workspace.as_ref().and_then(|w| w.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// Time left.
+    /// Returns the time until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(clock::now())
     }
 
-    /// How long a silent upstream is waited for: a request that may be sent again isn't left with one
-    /// for longer than `stall_time`.
+    /// Returns how long to wait for an unresponsive upstream; for a retryable request at most `stall_time`.
     pub fn response_timeout(&self, stall_time: Duration) -> Duration {
         match self.is_retryable() {
             true => self.remaining().min(stall_time),
@@ -166,11 +165,12 @@
         }
     }
 
-    /// What all attempts of this request have in common: what runs, and for whom. The attempt's id and the
-    /// time that is left differ each time; another service or workspace makes another request.
+    /// Returns the fingerprint that all attempts of this request share: of what runs, and for which workspace. The
+    /// attempt id and the remaining time differ between attempts; another service or workspace makes a different
+    /// request.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            let workspace = self.workspace.as_ref().map(|t| t.workspace.as_bytes());
+            let workspace = self.workspace.as_ref().map(|w| w.workspace.as_bytes());
             let target = self
                 .head
                 .uri
@@ -186,16 +186,16 @@
         })
     }
 
-    /// Returns whether it may run in a failure domain.
+    /// Returns whether the request may run in a failure domain.
     pub fn can_run_in(&self, domains: &Domains, domain: &str) -> bool {
         let workspace = self
             .workspace
             .as_ref()
-            .map_or(&[][..], |t| &t.allowed_places);
+            .map_or(&[][..], |w| &w.allowed_places);
         is_allowed(domains, domain, &self.route.allowed_places, workspace)
     }
 
-    /// Whether it may be sent again after it may have run.
+    /// Returns whether the request may be sent again although it may have run.
     pub fn is_retryable(&self) -> bool {
         self.route.kind.is_repeatable()
     }
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one upstream, and sorts what came back by what may be said of it.
+//! Sends a request to one upstream and classifies the response by what it proves.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,83 +20,89 @@
 /// Log prefix of this part.
 const PART: &str = "send";
 
-/// Status of an upstream that has another identity than the request asks for.
+/// Status of an upstream that isn't the instance that the request expects.
 const MISDIRECTED: u16 = 421;
 
-/// An answer whose head has come.
+/// Response of an upstream, of which the head has arrived.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Head.
     pub head: response::Parts,
-    /// Body, as it comes.
+    /// Body, as it arrives.
     pub body: Incoming,
-    /// Connection it comes on; closing it ends the work.
+    /// Connection of the response; closing it cancels the upstream's work.
     pub connection: Connection,
 }
 
-/// What sending came to.
+/// Outcome of sending a request.
 #[derive(Debug)]
-pub enum Sent {
-    /// The upstream answers the request.
-    Answer(Box<Answer>),
-    /// No byte was sent.
+pub enum SendOutcome {
+    /// The upstream responds to the request.
+    Response(Box<UpstreamResponse>),
+    /// No byte of the request was sent.
     Unreached(String),
-    /// The upstream refused for certain; it has not run there.
+    /// The upstream rejected the request; it has certainly not run there.
     NotRun(String),
-    /// It may have run; no answer can be had. To be noted by [`crate::loss::note`].
+    /// The request may have run, without a response. The caller records it by [`crate::loss::record`].
     Lost(ResponseLoss),
 }
 
-impl Sent {
-    /// Short name for logs.
+impl SendOutcome {
+    /// Returns the short name for logs.
     pub fn name(&self) -> &'static str {
         match self {
-            Sent::Answer(_) => "answer",
-            Sent::Unreached(_) => "unreached",
-            Sent::NotRun(_) => "not_run",
-            Sent::Lost(_) => "lost",
+            SendOutcome::Response(_) => "answer",
+            SendOutcome::Unreached(_) => "unreached",
+            SendOutcome::NotRun(_) => "not_run",
+            SendOutcome::Lost(_) => "lost",
         }
     }
 }
 
-/// Sends to the slot's upstream and waits for the head.
-pub async fn send(cx: &Cx, job: &RoutedRequest, slot: &Slot, last_event_id: Option<&str>) -> Sent {
+/// Sends a request to the slot's upstream and waits for the response head.
+pub async fn send(
+    cx: &Cx,
+    req: &RoutedRequest,
+    slot: &Slot,
+    last_event_id: Option<&str>,
+) -> SendOutcome {
     let upstream = slot.upstream();
-    let connect = cx.cfg.connect_timeout.min(response_timeout(cx, job, slot));
-    let begun = clock::now();
-    let opened = Connection::open(upstream.addr, connect).await;
-    job.spans.add(Span::Connect, begun);
-    let mut connection = match opened {
+    let connect_timeout = cx.cfg.connect_timeout.min(response_timeout(cx, req, slot));
+    let started = clock::now();
+    let connected = Connection::open(upstream.addr, connect_timeout).await;
+    req.spans.add(Span::Connect, started);
+    let mut connection = match connected {
         Ok(connection) => connection,
         Err(e) => {
             record_health(upstream, Health::Unreachable);
-            return Sent::Unreached(e.to_string());
+            return SendOutcome::Unreached(e.to_string());
         }
     };
-    // While it connected its time may have ended, or that of the version, if only since the VM was suspended.
-    let within = response_timeout(cx, job, slot);
-    if within.is_zero() {
-        return Sent::Unreached("the time to begin it is over".to_owned());
+    // The deadline or the time of the weights version may have passed while connecting, if only because the VM was
+    // suspended.
+    let timeout = response_timeout(cx, req, slot);
+    if timeout.is_zero() {
+        return SendOutcome::Unreached("the time to begin it is over".to_owned());
     }
     if cx.drains.contains(&upstream.domain) {
-        return Sent::Unreached("its failure domain was drained meanwhile".to_owned());
+        return SendOutcome::Unreached("its failure domain was drained meanwhile".to_owned());
     }
-    if let Some(why) = declines(cx, upstream) {
-        return Sent::Unreached(why.to_owned());
+    if let Some(why) = unavailable_reason(cx, upstream) {
+        return SendOutcome::Unreached(why.to_owned());
     }
-    let req = request(cx, job, slot, last_event_id);
-    let begun = clock::now();
-    let sent = tokio::time::timeout(within, connection.send(req)).await;
-    job.spans.add(Span::Head, begun);
+    let upstream_req = build_request(cx, req, slot, last_event_id);
+    let started = clock::now();
+    let sent = tokio::time::timeout(timeout, connection.send(upstream_req)).await;
+    req.spans.add(Span::Head, started);
     match sent {
-        Ok(Ok(res)) => sort(cx, job, upstream, res, connection, begun),
-        Ok(Err(e)) => Sent::Lost(ResponseLoss::BrokeOff(e.to_string())),
-        Err(_) => Sent::Lost(ResponseLoss::Silent),
+        Ok(Ok(res)) => classify(cx, req, upstream, res, connection, started),
+        Ok(Err(e)) => SendOutcome::Lost(ResponseLoss::Disconnected(e.to_string())),
+        Err(_) => SendOutcome::Lost(ResponseLoss::Unresponsive),
     }
 }
 
-/// Why an upstream accepts no request any more since it was chosen.
-fn declines(cx: &Cx, upstream: &Upstream) -> Option<&'static str> {
+/// Returns why an upstream that was chosen no longer accepts requests.
+fn unavailable_reason(cx: &Cx, upstream: &Upstream) -> Option<&'static str> {
     let feedback = cx.feedback.current();
     let until = feedback.back_off_until(upstream.incarnation);
     match until.is_some_and(|until| until > clock::now()) {
@@ -106,108 +112,109 @@
     }
 }
 
-/// How long an answer is waited for: a request that may be sent again isn't left with a silent
-/// upstream, nor queued at one whose version is about to be too old to begin it.
-pub fn response_timeout(cx: &Cx, job: &RoutedRequest, slot: &Slot) -> Duration {
-    let patience = job.response_timeout(cx.cfg.stall_time);
-    let begin_by = match (&job.metadata.model, slot.version) {
-        (Some(model), Some(version)) if job.is_retryable() => {
+/// Returns how long to wait for a response. A retryable request isn't left with an unresponsive upstream, nor queued
+/// at an upstream whose version is about to become too old to begin it.
+pub fn response_timeout(cx: &Cx, req: &RoutedRequest, slot: &Slot) -> Duration {
+    let timeout = req.response_timeout(cx.cfg.stall_time);
+    let begin_by = match (&req.metadata.model, slot.version) {
+        (Some(model), Some(version)) if req.is_retryable() => {
             cx.releases.may_begin_until(model, version)
         }
         _ => None,
     };
-    let left = begin_by.map(|at| at.saturating_duration_since(clock::now()));
-    left.map_or(patience, |left| left.min(patience))
+    let remaining = begin_by.map(|at| at.saturating_duration_since(clock::now()));
+    remaining.map_or(timeout, |remaining| remaining.min(timeout))
 }
 
-fn request(
+fn build_request(
     cx: &Cx,
-    job: &RoutedRequest,
+    req: &RoutedRequest,
     slot: &Slot,
     last_event_id: Option<&str>,
 ) -> hyper::Request<Full<Bytes>> {
     let forward = ForwardMetadata {
-        remaining: job.remaining(),
+        remaining: req.remaining(),
         instance: &slot.upstream().instance,
         version: slot.version,
-        workspace: job.workspace.as_ref().map(|t| t.workspace.as_str()),
-        priority: job.priority(),
+        workspace: req.workspace.as_ref().map(|w| w.workspace.as_str()),
+        priority: req.priority(),
         last_event_id,
     };
-    let mut req = hyper::Request::new(Full::new(job.body.clone()));
-    *req.method_mut() = job.head.method.clone();
-    *req.uri_mut() = job.head.uri.clone();
-    *req.headers_mut() = (cx.codec.request_headers)(&job.head.headers, &forward);
-    req
+    let mut upstream_req = hyper::Request::new(Full::new(req.body.clone()));
+    *upstream_req.method_mut() = req.head.method.clone();
+    *upstream_req.uri_mut() = req.head.uri.clone();
+    *upstream_req.headers_mut() = (cx.codec.request_headers)(&req.head.headers, &forward);
+    upstream_req
 }
 
-fn sort(
+fn classify(
     cx: &Cx,
-    job: &RoutedRequest,
+    req: &RoutedRequest,
     upstream: &Arc<Upstream>,
     res: hyper::Response<Incoming>,
     connection: Connection,
-    sent: Instant,
-) -> Sent {
+    sent_at: Instant,
+) -> SendOutcome {
     let (head, body) = res.into_parts();
-    let reply = (cx.codec.parse_response)(&head);
+    let metadata = (cx.codec.parse_response)(&head);
     let status = head.status.as_u16();
-    if is_own(&reply, upstream, job) {
-        cx.feedback.observe(upstream, &reply, sent, clock::now());
+    if is_own_response(&metadata, upstream, req) {
+        cx.feedback
+            .observe(upstream, &metadata, sent_at, clock::now());
     }
-    if let Some(cold_for) = reply.cold_for {
+    if let Some(cold_for) = metadata.cold_for {
         upstream.observe_cold(cold_for);
     }
     let replaced = |id: &String| *id != upstream.instance;
-    if status == MISDIRECTED && reply.instance.as_ref().is_some_and(replaced) {
+    if status == MISDIRECTED && metadata.instance.as_ref().is_some_and(replaced) {
         record_health(upstream, Health::Replaced);
     }
-    if reply.not_run && head.status == StatusCode::SERVICE_UNAVAILABLE {
+    if metadata.not_run && head.status == StatusCode::SERVICE_UNAVAILABLE {
         record_health(upstream, Health::Refused);
     }
-    if reply.not_run || status == MISDIRECTED {
-        return Sent::NotRun(format!("status {status}"));
+    if metadata.not_run || status == MISDIRECTED {
+        return SendOutcome::NotRun(format!("status {status}"));
     }
-    if reply
+    if metadata
         .attempt_id
         .as_ref()
-        .is_some_and(|id| *id != job.metadata.attempt_id)
+        .is_some_and(|id| *id != req.metadata.attempt_id)
     {
-        return Sent::Lost(ResponseLoss::Foreign);
+        return SendOutcome::Lost(ResponseLoss::WrongAttempt);
     }
-    if head.status.is_success() && !reply.is_signed {
-        return Sent::Lost(ResponseLoss::Unsigned);
+    if head.status.is_success() && !metadata.is_signed {
+        return SendOutcome::Lost(ResponseLoss::Unsigned);
     }
     if head.status.is_server_error() {
         record_health(upstream, Health::Failed);
     }
-    Sent::Answer(Box::new(Answer {
+    SendOutcome::Response(Box::new(UpstreamResponse {
         head,
         body,
         connection,
     }))
 }
 
-/// Returns whether an answer is this incarnation's own to this request: another one may have its address, and a
-/// surplus answer may come first.
-fn is_own(reply: &ResponseMetadata, upstream: &Upstream, job: &RoutedRequest) -> bool {
-    let id = reply.attempt_id.as_ref();
-    let instance = reply.instance.as_ref();
-    id == Some(&job.metadata.attempt_id) && instance.is_none_or(|i| *i == upstream.instance)
+/// Returns whether a response is of the expected instance and to this attempt: another instance may have the address,
+/// and a surplus response may arrive first.
+fn is_own_response(metadata: &ResponseMetadata, upstream: &Upstream, req: &RoutedRequest) -> bool {
+    let id = metadata.attempt_id.as_ref();
+    let instance = metadata.instance.as_ref();
+    id == Some(&req.metadata.attempt_id) && instance.is_none_or(|i| *i == upstream.instance)
 }
 
-/// Notes how sending to an upstream went, with a log line where that leaves it alone.
+/// Records the result of a request to an upstream, and logs if the upstream is ejected.
 pub fn record_health(upstream: &Arc<Upstream>, health: Health) {
     if upstream.record_health(health) {
         info!(target: PART, "{PART}: event=paused upstream={} addr={} why={health:?}", upstream.instance, upstream.addr);
     }
 }
 
-/// Reads a body to its end.
-pub async fn read_whole(body: Incoming, within: Duration) -> Result<Bytes, ResponseLoss> {
-    match tokio::time::timeout(within, body.collect()).await {
+/// Reads a body to its end within `timeout`.
+pub async fn read_to_end(body: Incoming, timeout: Duration) -> Result<Bytes, ResponseLoss> {
+    match tokio::time::timeout(timeout, body.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(e)) => Err(ResponseLoss::BrokeOff(e.to_string())),
-        Err(_) => Err(ResponseLoss::Silent),
+        Ok(Err(e)) => Err(ResponseLoss::Disconnected(e.to_string())),
+        Err(_) => Err(ResponseLoss::Unresponsive),
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listeners of a gateway, and its planned stop.
+//! Listeners of a gateway, and its graceful shutdown.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -26,43 +26,43 @@
 /// Log prefix of this part.
 const PART: &str = "serve";
 
-/// Pause after a failed accept, so that a lack of descriptors doesn't spin.
+/// Pause after a failed accept, so that the loop doesn't spin when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Smallest buffer for a head that `hyper` allows, in bytes.
-const LEAST_HEAD: usize = 8192;
+/// Minimum buffer for a request head that `hyper` allows, in bytes.
+const MIN_HEAD_BYTES: usize = 8192;
 
-/// Rest of a connection that is allowed before a configuration is known.
-const FIRST_IDLE: Duration = Duration::from_secs(15);
+/// Idle timeout of a connection before a configuration is known.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(15);
 
-/// Head of a request that is allowed before a configuration is known, in bytes.
-const FIRST_HEAD: usize = 16 << 10;
+/// Maximum size of a request head before a configuration is known, in bytes.
+const DEFAULT_HEAD_BYTES: usize = 16 << 10;
 
-/// Runs a gateway until it is stopped and what runs has ended.
+/// Runs a gateway until it is stopped and its requests in flight have ended.
 pub async fn run(cx: Arc<Cx>) -> std::io::Result<()> {
-    let front = TcpListener::bind(cx.cfg.listen).await?;
-    let ready = TcpListener::bind(cx.cfg.ready).await?;
-    let copies = TcpListener::bind(cx.cfg.copies).await?;
+    let caller_listener = TcpListener::bind(cx.cfg.listen).await?;
+    let ready_listener = TcpListener::bind(cx.cfg.ready).await?;
+    let replica_listener = TcpListener::bind(cx.cfg.copies).await?;
     let beacon = Beacon::bind(cx.cfg.node.beacon).await?;
     info!(target: PART, "{PART}: event=started vm={} listen={} incarnation={}", cx.cfg.node.vm, cx.cfg.listen, cx.incarnation);
-    let (own_stop, internal_stop) = tokio::sync::watch::channel(false);
-    let readiness = cx.clone();
+    let (internal_stop_tx, internal_stop) = tokio::sync::watch::channel(false);
+    let ready_cx = cx.clone();
     tokio::spawn(web::serve(
-        ready,
+        ready_listener,
         Bounds::internal(),
         internal_stop.clone(),
         move |_| {
-            let res = answer_ready(&readiness);
+            let res = ready_response(&ready_cx);
             async move { res }
         },
     ));
-    let passing = cx.clone();
+    let replica_cx = cx.clone();
     tokio::spawn(web::serve(
-        copies,
+        replica_listener,
         Bounds::internal(),
         internal_stop,
         move |req| {
-            let cx = passing.clone();
+            let cx = replica_cx.clone();
             async move {
                 if req.uri().path() == introduction::PATH {
                     return cx.introductions.serve(req).await;
@@ -80,35 +80,35 @@
     tokio::spawn(send_suspects(cx.clone(), beacon.clone()));
     tokio::spawn(send_rate_limits(cx.clone(), beacon.clone()));
     tokio::spawn(listen(cx.clone(), beacon));
-    serve_callers(&cx, front).await;
-    own_stop.send_replace(true);
+    serve_callers(&cx, caller_listener).await;
+    internal_stop_tx.send_replace(true);
     info!(target: PART, "{PART}: event=stopped vm={}", cx.cfg.node.vm);
     Ok(())
 }
 
-fn answer_ready(cx: &Cx) -> Response {
+fn ready_response(cx: &Cx) -> Response {
     match cx.is_ready() {
         true => text(200, "ready\n"),
         false => text(503, "not ready\n"),
     }
 }
 
-/// Takes callers' connections. At a planned stop it first goes on taking them, since the balancer
-/// needs time to notice, and then lets what runs end.
+/// Accepts callers' connections. On shutdown it keeps accepting them for `stop_notice`, since the load balancer in
+/// front of the gateway needs time to react, and then waits for the requests in flight.
 async fn serve_callers(cx: &Arc<Cx>, listener: TcpListener) {
     let graceful = GracefulShutdown::new();
     let mut stop = cx.stop.clone();
-    let leaving = async move {
+    let stopped = async move {
         let stopping = stop.wait_for(|stopping| *stopping).await.is_ok();
         if !stopping {
             std::future::pending::<()>().await;
         }
     };
-    let notice = cx.cfg.stop_notice;
+    let stop_notice = cx.cfg.stop_notice;
     let mut closing = Box::pin(async move {
-        leaving.await;
-        info!(target: PART, "{PART}: event=stopping notice={notice:?}");
-        tokio::time::sleep(notice).await;
+        stopped.await;
+        info!(target: PART, "{PART}: event=stopping notice={stop_notice:?}");
+        tokio::time::sleep(stop_notice).await;
     });
     loop {
         let accepted = tokio::select! {
@@ -117,7 +117,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::spawn(connection(cx.clone(), stream, graceful.watcher()));
+                tokio::spawn(handle_connection(cx.clone(), stream, graceful.watcher()));
             }
             Err(e) => {
                 warn!(target: PART, "{PART}: event=accept_failed why=\"{e}\"");
@@ -132,20 +132,22 @@
     }
 }
 
-async fn connection(cx: Arc<Cx>, stream: TcpStream, watcher: Watcher) {
+async fn handle_connection(cx: Arc<Cx>, stream: TcpStream, watcher: Watcher) {
     let _ = stream.set_nodelay(true);
     let limits = cx.catalog.borrow().as_ref().map(|c| c.limits);
-    let idle = limits.map_or(FIRST_IDLE, |l| l.idle_time);
-    let head = limits.map_or(FIRST_HEAD, |l| l.head_bytes).max(LEAST_HEAD);
+    let idle_time = limits.map_or(DEFAULT_IDLE_TIME, |l| l.idle_time);
+    let head_bytes = limits
+        .map_or(DEFAULT_HEAD_BYTES, |l| l.head_bytes)
+        .max(MIN_HEAD_BYTES);
     let service = service_fn(move |req| respond(cx.clone(), req));
-    // hyper counts the time for a head from the end of the last answer, so the bound has to cover
-    // a connection's rest too.
+    // hyper measures the time for a head from the end of the previous response, so the timeout has to cover the idle
+    // time of the connection too.
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
-        .max_buf_size(head)
+        .header_read_timeout(idle_time)
+        .max_buf_size(head_bytes)
         .serve_connection(TokioIo::new(stream), service);
-    // A broken connection is the caller's affair; its request is recorded where it runs.
+    // Errors of the connection need no handling here: its request is recorded where it is handled.
     let _ = watcher.watch(conn).await;
 }
 
--- a/crates/gateway/src/spans.rs
+++ b/crates/gateway/src/spans.rs
@@ -1,42 +1,41 @@
-//! Where the time of a request goes, from its head to its end.
+//! Time that a request spends in each phase, from its head to its end.
 //!
-//! Each stretch of its path is summed over all of its tries. What is left over, in which events are passed on,
-//! follows from the whole time.
+//! Each span is summed over all attempts. The remaining time, in which events are relayed, follows from the total.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// A stretch of a request's path.
+/// Phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Span {
-    /// Route, workspace and configuration are found, and the body is read.
+    /// Lookup of configuration, route and workspace, and reading of the body.
     Admit,
-    /// It waits for a slot at an upstream.
-    Line,
-    /// A connection to the upstream is made.
+    /// Wait in the queue for a slot at an upstream.
+    Queue,
+    /// Connection to the upstream.
     Connect,
-    /// It is sent, and the upstream's head waited for.
+    /// Sending of the request, and wait for the response head.
     Head,
-    /// The first event of a stream is waited for, once its head is here.
+    /// Wait for the first event of a stream, after the head.
     FirstEvent,
 }
 
 impl Span {
-    /// All spans, in the order of the path.
+    /// All spans, in order of the request path.
     pub const ALL: [Span; 5] = [
         Span::Admit,
-        Span::Line,
+        Span::Queue,
         Span::Connect,
         Span::Head,
         Span::FirstEvent,
     ];
 
-    /// Name in logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Span::Admit => "admit",
-            Span::Line => "line",
+            Span::Queue => "line",
             Span::Connect => "connect",
             Span::Head => "head",
             Span::FirstEvent => "first_event",
@@ -44,24 +43,24 @@
     }
 }
 
-/// Times that a request spent in each span, in microseconds.
+/// Time spent in each span, in microseconds.
 #[derive(Debug, Default)]
 pub struct Spans([AtomicU64; Span::ALL.len()]);
 
 impl Spans {
-    /// Adds the time since `begun`.
-    pub fn add(&self, span: Span, begun: Instant) {
-        let micros = clock::since(begun).as_micros();
+    /// Adds the time since `started` to a span.
+    pub fn add(&self, span: Span, started: Instant) {
+        let micros = clock::since(started).as_micros();
         let micros = u64::try_from(micros).unwrap_or(u64::MAX);
         self.0[span as usize].fetch_add(micros, Relaxed);
     }
 
-    /// Time spent in a span.
+    /// Returns the time spent in a span.
     pub fn time(&self, span: Span) -> Duration {
         Duration::from_micros(self.0[span as usize].load(Relaxed))
     }
 
-    /// Records each span that took any time, by route.
+    /// Records the duration of each span that isn't zero, by route.
     pub fn record(&self, route: &str) {
         for span in Span::ALL {
             let time = self.time(span);
--- a/crates/gateway/src/unconfirmed.rs
+++ b/crates/gateway/src/unconfirmed.rs
@@ -1,6 +1,7 @@
-//! Ends of upstreams that aren't confirmed yet: an answer was lost, and it didn't show at once why.
+//! Upstream exits that aren't confirmed yet: a response was lost, and a probe didn't show why.
 //!
-//! Where a VM goes with its process, or a process is back at once, only the platform's list tells, seconds later.
+//! If a VM goes down with its process, or a process restarts at once, only the platform's list shows the exit, seconds
+//! later.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,63 +11,65 @@
 use base::{Fingerprint, LifeId, Set};
 use decide::quarantine::UpstreamExit;
 
-/// Time in which the platform's list shows that an upstream ended, which didn't show at once: an entry lapses
-/// after three heartbeats, and a list is up to 1.4 s old.
-const LIST_TIME: Duration = Duration::from_secs(10);
+/// Time within which the platform's list shows an exit that a probe didn't show: an entry lapses after three
+/// heartbeats, and a list is up to 1.4 s old.
+const CONFIRM_TIME: Duration = Duration::from_secs(10);
 
-/// Most ends of which that is still awaited, the latest.
-const MOST_UNCONFIRMED: usize = 1024;
+/// Maximum number of unconfirmed exits; the latest are retained.
+const MAX_UNCONFIRMED: usize = 1024;
 
-/// An answer that was lost, of whose upstream it isn't known yet whether it ended.
+/// Possible exit of an upstream whose response was lost.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnconfirmedExit {
-    /// The request.
+    /// Request whose response was lost.
     pub(crate) request: Fingerprint,
-    /// Where it was sent.
+    /// Upstream that it was sent to.
     pub(crate) upstream: SocketAddr,
-    /// The end of that upstream, if it was one.
+    /// Exit of that upstream, if it exited.
     pub(crate) exit: UpstreamExit,
 }
 
-/// Such ends, the earliest first.
+/// Unconfirmed exits, the earliest first.
 #[derive(Debug, Default)]
 pub(crate) struct UnconfirmedExits(Mutex<VecDeque<UnconfirmedExit>>);
 
 impl UnconfirmedExits {
-    fn all(&self) -> MutexGuard<'_, VecDeque<UnconfirmedExit>> {
+    fn exits(&self) -> MutexGuard<'_, VecDeque<UnconfirmedExit>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes one.
-    pub(crate) fn add(&self, end: UnconfirmedExit) {
-        let mut all = self.all();
-        if all.len() == MOST_UNCONFIRMED {
-            all.pop_front();
+    /// Adds an unconfirmed exit.
+    pub(crate) fn add(&self, exit: UnconfirmedExit) {
+        let mut exits = self.exits();
+        if exits.len() == MAX_UNCONFIRMED {
+            exits.pop_front();
         }
-        all.push_back(end);
+        exits.push_back(exit);
     }
 
-    /// Takes out those whose upstream isn't among the `lives` any more, and forgets those that are too old.
+    /// Removes and returns the exits of upstreams that aren't among the `listed` any more. Drops those that are too
+    /// old.
     pub(crate) fn take_confirmed(
         &self,
-        lives: &Set<LifeId>,
+        listed: &Set<LifeId>,
         now: Instant,
     ) -> VecDeque<UnconfirmedExit> {
-        let mut all = self.all();
-        all.retain(|e| now.saturating_duration_since(e.exit.at) < LIST_TIME);
-        let (ended, unknown) = std::mem::take(&mut *all)
+        let mut exits = self.exits();
+        exits.retain(|e| now.saturating_duration_since(e.exit.at) < CONFIRM_TIME);
+        let (confirmed, unconfirmed) = std::mem::take(&mut *exits)
             .into_iter()
-            .partition(|e| !lives.contains(&e.exit.incarnation));
-        *all = unknown;
-        ended
+            .partition(|e| !listed.contains(&e.exit.incarnation));
+        *exits = unconfirmed;
+        confirmed
     }
 
-    /// Forgets those to a request that ran to its end since; its fingerprint is made only where there are any.
+    /// Drops the exits recorded for a request that has since completed. Its fingerprint is computed only if there
+    /// are any exits.
     pub(crate) fn forget(&self, request: impl FnOnce() -> Fingerprint) {
-        let mut all = self.all();
-        if !all.is_empty() {
+        let mut exits = self.exits();
+        if !exits.is_empty() {
             let request = request();
-            all.retain(|e| e.request != request);
+            exits.retain(|e| e.request != request);
         }
     }
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,61 +1,65 @@
-//! One upstream: what the platform lists of it, what its loader tells, and what is in flight.
+//! State of an upstream: its entry in the platform's list, the status sent by its loader, and its requests in flight.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 use base::{DomainName, Fingerprint, LifeId, Model, Revision};
-use beacon::{EngineStatus, Holding, Load};
-use catalog::{ServiceName, StartTime, WeightsVersion};
-
-use decide::outlier_detection::{OutcomeCounts, OutcomeTracker};
+use beacon::EngineStatus;
+use beacon::Holding;
+use beacon::Load;
+use catalog::ServiceName;
+use catalog::StartTime;
+use catalog::WeightsVersion;
+use decide::outlier_detection::OutcomeCounts;
+use decide::outlier_detection::OutcomeTracker;
 use tokio::sync::Notify;
 
 use crate::suspects::TrialGuard;
 
-/// Incarnation of an upstream, as the platform names it.
+/// Id of an upstream in the platform's list; a restarted upstream may have the same one.
 pub type InstanceId = String;
 
-/// How long a loader's note goes before what the platform lists, in which a change shows up to
-/// three seconds later.
-const NOTE_TIME: Duration = Duration::from_secs(3);
+/// Time for which a loader's status takes precedence over the platform's list, where a change appears up to three
+/// seconds later.
+const STATUS_TIME: Duration = Duration::from_secs(3);
 
-/// First pause after a failed connection, or a row of failed or rejected requests.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+/// First ejection time after a failed connection, or consecutive failed or rejected requests.
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(500);
 
-/// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Maximum ejection time.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
 
-/// Failed or rejected requests in a row after which an upstream is left alone for a while.
-const FAILURES_IN_A_ROW: u32 = 3;
+/// Number of consecutive failed or rejected requests after which an upstream is ejected for a while.
+const EJECTION_THRESHOLD: u32 = 3;
 
-/// An upstream as the platform lists it.
+/// Entry of an upstream in the platform's list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedUpstream {
-    /// Incarnation.
+    /// Id in the platform's list.
     pub instance: InstanceId,
-    /// Service it belongs to.
+    /// Service that it belongs to.
     pub service: ServiceName,
     /// Address.
     pub addr: SocketAddr,
     /// Failure domain.
     pub domain: DomainName,
-    /// Requests it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it is draining and accepts no new requests.
     pub draining: bool,
     /// Time for which it stays cold.
     pub cold_for: Duration,
-    /// Weights it holds whole.
+    /// Weights that it holds completely.
     pub holdings: Vec<Holding>,
-    /// Revision of its entry; grows with each of its heartbeats.
+    /// Revision of the entry; grows with each heartbeat.
     pub revision: Revision,
-    /// Start of its life, where it tells it: it may start again under its id.
+    /// Start time of the process, if stated; it may restart under the same id.
     pub start_time: Option<StartTime>,
 }
 
 impl ListedUpstream {
-    /// Whether something other than what each heartbeat changes differs.
+    /// Returns whether the entries differ, apart from the fields that change with each heartbeat.
     pub fn differs_from(&self, other: &ListedUpstream) -> bool {
         *self
             != ListedUpstream {
@@ -66,47 +70,48 @@
     }
 }
 
-/// Whether a life ended before another began; `false` where either isn't known.
-pub fn is_stale(born: Option<StartTime>, later: Option<StartTime>) -> bool {
-    matches!((born, later), (Some(born), Some(later)) if born < later)
+/// Returns whether `start_time` is of an earlier incarnation than the one that started at `later`; `false` if either
+/// isn't known.
+pub fn is_stale(start_time: Option<StartTime>, later: Option<StartTime>) -> bool {
+    matches!((start_time, later), (Some(start), Some(later)) if start < later)
 }
 
-fn incarnation(instance: &str, born: Option<StartTime>) -> LifeId {
-    let born = born.map_or(0, |born| born.wrapping_add(1));
-    Fingerprint::of(&[instance.as_bytes(), &born.to_le_bytes()]).short()
+fn incarnation(instance: &str, start_time: Option<StartTime>) -> LifeId {
+    let start_time = start_time.map_or(0, |start| start.wrapping_add(1));
+    Fingerprint::of(&[instance.as_bytes(), &start_time.to_le_bytes()]).short()
 }
 
-/// How sending to an upstream went.
+/// Result of a request to an upstream, for outlier detection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It answered.
+    /// The upstream responded.
     Answered,
-    /// It answered with a failure of its own, or not whole.
+    /// The upstream responded with a server error, or its response was lost.
     Failed,
-    /// It rejected the request.
+    /// The upstream rejected the request.
     Refused,
-    /// No connection came about.
+    /// No connection could be established.
     Unreachable,
-    /// Another incarnation or another service has its address.
+    /// Another instance or another service has its address.
     Replaced,
 }
 
 #[derive(Debug)]
 struct State {
     listed: ListedUpstream,
-    note: Option<(EngineStatus, Instant)>,
+    status: Option<(EngineStatus, Instant)>,
     requests: u32,
     unread: u64,
-    failures: u32,
-    pauses: u32,
-    paused_until: Option<Instant>,
+    consecutive_failures: u32,
+    ejections: u32,
+    ejected_until: Option<Instant>,
     outcomes: OutcomeTracker,
-    /// Until when it is cold, by what it last said of itself.
+    /// Until when it is cold, as last stated in a response or an entry.
     cold_until: Option<Instant>,
-    /// Set where it may have turned cold meanwhile: an entry counts only from a later revision on.
+    /// Set if it may have turned cold: it counts as cold until an entry of a later revision states otherwise.
     cold_unless_after: Option<Revision>,
     /// When this gateway last chose it.
-    chosen: Option<Instant>,
+    last_chosen: Option<Instant>,
 }
 
 impl State {
@@ -114,8 +119,8 @@
         self.cold_unless_after.is_some() || self.cold_until.is_some_and(|until| now < until)
     }
 
-    /// Takes what a newer entry says of how long it stays cold.
-    fn relist_cold(&mut self, listed: &ListedUpstream, now: Instant) {
+    /// Updates how long it stays cold from a newer entry.
+    fn update_cold(&mut self, listed: &ListedUpstream, now: Instant) {
         if listed.revision <= self.listed.revision {
             return;
         }
@@ -124,10 +129,10 @@
         self.cold_unless_after = after.filter(|after| listed.revision <= *after);
     }
 
-    fn serves(&self, model: &Model, now: Instant) -> Option<WeightsVersion> {
-        let holdings = match self.fresh_note(now) {
-            Some((note, _)) if note.switching => return None,
-            Some((note, _)) => &note.holdings,
+    fn serving_version(&self, model: &Model, now: Instant) -> Option<WeightsVersion> {
+        let holdings = match self.fresh_status(now) {
+            Some((status, _)) if status.switching => return None,
+            Some((status, _)) => &status.holdings,
             None => &self.listed.holdings,
         };
         let held = holdings.iter().find(|h| h.model == *model)?;
@@ -135,63 +140,63 @@
     }
 
     fn leaves_in(&self, now: Instant) -> Option<Duration> {
-        let (note, at) = self.fresh_note(now)?;
-        let leaves_at = *at + note.leaves_in?;
+        let (status, at) = self.fresh_status(now)?;
+        let leaves_at = *at + status.leaves_in?;
         Some(leaves_at.saturating_duration_since(now))
     }
 
-    /// The loader's note and when it came, while it goes before what the platform lists.
-    fn fresh_note(&self, now: Instant) -> Option<&(EngineStatus, Instant)> {
-        let fresh = |at: &Instant| now.saturating_duration_since(*at) < NOTE_TIME;
-        self.note.as_ref().filter(|(_, at)| fresh(at))
+    /// Returns the loader's status and when it was received, while it takes precedence over the platform's list.
+    fn fresh_status(&self, now: Instant) -> Option<&(EngineStatus, Instant)> {
+        let is_fresh = |at: &Instant| now.saturating_duration_since(*at) < STATUS_TIME;
+        self.status.as_ref().filter(|(_, at)| is_fresh(at))
     }
 }
 
-/// How an upstream stands at a moment; load is this gateway's part.
+/// State of an upstream at one moment; its load is that of this gateway alone.
 #[derive(Debug, Clone, Copy)]
 pub struct Snapshot {
-    /// Whether it takes no new work.
+    /// Whether it is draining and accepts no new requests.
     pub draining: bool,
-    /// Version of the model that it can serve.
+    /// Version of the model that it can serve now.
     pub serving_version: Option<WeightsVersion>,
-    /// Whether it is left alone for now.
+    /// Whether it is ejected.
     pub is_ejected: bool,
-    /// Requests it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Requests in flight.
     pub requests: u32,
-    /// Their prompt tokens that aren't read yet.
+    /// Prompt tokens of these requests that aren't read yet.
     pub unread: u64,
-    /// Requests that lately failed there, not faded yet.
+    /// Recently failed requests, without the decay since the last failure.
     pub max_failed: f64,
-    /// Time until it is to leave service for new weights, as its loader has told.
+    /// Time until it leaves service for new weights, as its loader stated.
     pub leaves_in: Option<Duration>,
-    /// Whether it is cold, or may be.
+    /// Whether it is cold, or may be cold.
     pub is_cold: bool,
     /// When this gateway last chose it.
     pub last_chosen: Option<Instant>,
 }
 
-/// An upstream.
+/// Upstream.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Incarnation.
+    /// Id in the platform's list.
     pub instance: InstanceId,
-    /// Service it belongs to.
+    /// Service that it belongs to.
     pub service: ServiceName,
     /// Address.
     pub addr: SocketAddr,
     /// Failure domain.
     pub domain: DomainName,
-    /// Start of its life, where it is known.
+    /// Start time of the process, if known.
     pub start_time: Option<StartTime>,
-    /// The same number for this life at all gateways.
+    /// Incarnation: the same number at all gateways, and another one after each restart.
     pub incarnation: LifeId,
     state: Mutex<State>,
 }
 
 impl Upstream {
-    /// An upstream that was just listed.
+    /// Creates an upstream that has just been listed.
     pub fn new(listed: ListedUpstream) -> Upstream {
         let now = clock::now();
         let cold_until = (!listed.cold_for.is_zero()).then(|| now + listed.cold_for);
@@ -204,16 +209,16 @@
             incarnation: incarnation(&listed.instance, listed.start_time),
             state: Mutex::new(State {
                 listed,
-                note: None,
+                status: None,
                 requests: 0,
                 unread: 0,
-                failures: 0,
-                pauses: 0,
-                paused_until: None,
+                consecutive_failures: 0,
+                ejections: 0,
+                ejected_until: None,
                 outcomes: OutcomeTracker::new(now),
                 cold_until,
                 cold_unless_after: None,
-                chosen: None,
+                last_chosen: None,
             }),
         }
     }
@@ -222,97 +227,97 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes what the platform lists now; `true` where it differs.
+    /// Replaces the entry. Returns whether it differs.
     pub fn update_listing(&self, listed: ListedUpstream) -> bool {
         let mut state = self.state();
         let differs = state.listed.differs_from(&listed);
-        state.relist_cold(&listed, clock::now());
+        state.update_cold(&listed, clock::now());
         state.listed = listed;
         differs
     }
 
-    /// The life that follows this one under the same id. Of this one nothing is kept: what it held, ran and
-    /// how it fared went with it; only a note that its loader sent of the new life holds on.
+    /// Returns the incarnation that follows this one under the same id. Holdings, requests and outcomes of this one
+    /// aren't retained; only a status that the loader sent of the new incarnation is.
     pub fn next_incarnation(&self, listed: ListedUpstream) -> Upstream {
         let next = Upstream::new(listed);
-        let note = self.state().note.take();
-        next.state().note = note.filter(|(note, _)| note.start_time == next.start_time);
+        let previous = self.state().status.take();
+        next.state().status = previous.filter(|(status, _)| status.start_time == next.start_time);
         next
     }
 
-    /// Takes a loader's note, unless a newer one is known or it is of a former life; `true` where it changes
-    /// what the upstream can serve.
-    pub fn update_status(&self, note: EngineStatus, now: Instant) -> bool {
-        if is_stale(note.start_time, self.start_time) {
+    /// Stores a loader's status, unless a newer one is known or it is of a stale incarnation. Returns whether it
+    /// changes what the upstream can serve.
+    pub fn update_status(&self, status: EngineStatus, now: Instant) -> bool {
+        if is_stale(status.start_time, self.start_time) {
             return false;
         }
         let mut state = self.state();
-        // Incarnations come from the time of day, which may have been set back on the loader's VM.
-        let newer = state.note.as_ref().is_none_or(|(known, at)| {
-            let later = (note.incarnation, note.sequence) > (known.incarnation, known.sequence);
-            later || now.saturating_duration_since(*at) >= NOTE_TIME
+        // Incarnations derive from the time of day, which may have been set back on the loader's VM.
+        let is_newer = state.status.as_ref().is_none_or(|(known, at)| {
+            let is_later = (status.incarnation, status.sequence) > (known.incarnation, known.sequence);
+            is_later || now.saturating_duration_since(*at) >= STATUS_TIME
         });
-        if !newer {
+        if !is_newer {
             return false;
         }
-        let changes = state.note.as_ref().is_none_or(|(known, _)| {
-            known.switching != note.switching || known.holdings != note.holdings
+        let is_changed = state.status.as_ref().is_none_or(|(known, _)| {
+            known.switching != status.switching || known.holdings != status.holdings
         });
-        state.note = Some((note, now));
-        changes
+        state.status = Some((status, now));
+        is_changed
     }
 
-    /// Whether it takes no new work.
+    /// Returns whether its entry states that it is draining.
     pub fn is_draining(&self) -> bool {
         self.state().listed.draining
     }
 
-    /// Version of a model that it can serve now; `None` where it holds none whole, or changes it.
+    /// Returns the version of a model that it can serve now; `None` if it holds none completely, or is switching.
     pub fn serving_version(&self, model: &Model) -> Option<WeightsVersion> {
-        self.state().serves(model, clock::now())
+        self.state().serving_version(model, clock::now())
     }
 
-    /// Time until it is to leave service for new weights, as its loader has told.
+    /// Returns the time until it leaves service for new weights, as its loader stated.
     pub fn leaves_in(&self, now: Instant) -> Option<Duration> {
         self.state().leaves_in(now)
     }
 
-    /// How it stands for a choice, under one lock: a choice looks at all upstreams of a service.
+    /// Returns a snapshot, taken under one lock: load balancing reads all upstreams of a service.
     pub fn snapshot(&self, model: Option<&Model>, now: Instant) -> Snapshot {
         let state = self.state();
         Snapshot {
             draining: state.listed.draining,
-            serving_version: model.and_then(|model| state.serves(model, now)),
-            is_ejected: state.paused_until.is_some_and(|until| until > now),
+            serving_version: model.and_then(|model| state.serving_version(model, now)),
+            is_ejected: state.ejected_until.is_some_and(|until| until > now),
             slots: state.listed.slots.max(1),
             requests: state.requests,
             unread: state.unread,
             max_failed: state.outcomes.max_failed(),
             leaves_in: state.leaves_in(now),
             is_cold: state.is_cold(now),
-            last_chosen: state.chosen,
+            last_chosen: state.last_chosen,
         }
     }
 
-    /// How this gateway's requests lately ended there.
+    /// Returns the outcomes of this gateway's recent requests.
     pub fn outcome_counts(&self, now: Instant) -> OutcomeCounts {
         self.state().outcomes.counts(now)
     }
 
-    /// Takes what it answered of how long it stays cold.
+    /// Records how long it stays cold, as stated in a response.
     pub fn observe_cold(&self, cold_for: Duration) {
         let mut state = self.state();
         state.cold_until = (!cold_for.is_zero()).then(|| clock::now() + cold_for);
     }
 
-    /// Notes that it may have turned cold: it counts as cold until an entry of a later revision says otherwise.
+    /// Records that it may have turned cold: it counts as cold until an entry of a later revision states otherwise.
     pub fn mark_possibly_cold(&self, revision: Revision) {
         let mut state = self.state();
         let since = revision.max(state.listed.revision);
         state.cold_unless_after = Some(since);
     }
 
-    /// This gateway's part of its load.
+    /// Returns this gateway's part of its load.
     pub fn load(&self) -> Load {
         let state = self.state();
         let counts = state.outcomes.counts(clock::now());
@@ -326,102 +331,102 @@
         }
     }
 
-    /// Whether it is left alone for now.
+    /// Returns whether it is ejected.
     pub fn is_ejected(&self) -> bool {
-        let until = self.state().paused_until;
+        let until = self.state().ejected_until;
         until.is_some_and(|until| until > clock::now())
     }
 
-    /// Notes how sending went; `true` where the upstream is left alone from now on.
+    /// Records the result of a request. Returns whether the upstream is ejected from now on.
     pub fn record_health(&self, health: Health) -> bool {
         let now = clock::now();
         let mut state = self.state();
         match health {
             Health::Answered => {
                 state.outcomes.record_answer(now);
-                state.failures = 0;
-                state.pauses = 0;
-                state.paused_until = None;
+                state.consecutive_failures = 0;
+                state.ejections = 0;
+                state.ejected_until = None;
                 return false;
             }
-            Health::Failed | Health::Refused => state.failures += 1,
+            Health::Failed | Health::Refused => state.consecutive_failures += 1,
             Health::Unreachable => {
-                state.failures = FAILURES_IN_A_ROW;
-                // Down for longer than a pause: it starts again, which an entry of before doesn't tell.
-                if state.pauses > 0 {
+                state.consecutive_failures = EJECTION_THRESHOLD;
+                // It was down for longer than an ejection, so it is restarting, which an earlier entry doesn't show.
+                if state.ejections > 0 {
                     state.cold_unless_after = Some(state.listed.revision);
                 }
             }
             Health::Replaced => {
-                // Its entry lapses by itself within this time.
-                state.paused_until = Some(clock::now() + LONGEST_PAUSE);
+                // The entry lapses within this time.
+                state.ejected_until = Some(clock::now() + MAX_EJECTION_TIME);
                 return true;
             }
         }
         state.outcomes.record_failure(now);
-        if state.failures < FAILURES_IN_A_ROW {
+        if state.consecutive_failures < EJECTION_THRESHOLD {
             return false;
         }
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(state.pauses);
-        // It is alive, and may have room at any moment.
+        let ejection_time = BASE_EJECTION_TIME * 2_u32.saturating_pow(state.ejections);
+        // An upstream that rejects requests is alive, and may have free capacity at any moment.
         if health != Health::Refused {
-            state.pauses += 1;
+            state.ejections += 1;
         }
-        state.paused_until = Some(clock::now() + pause.min(LONGEST_PAUSE));
+        state.ejected_until = Some(clock::now() + ejection_time.min(MAX_EJECTION_TIME));
         true
     }
 }
 
-/// What is told when requests begin and end.
+/// Notifiers that a slot informs when its request begins and ends.
 #[derive(Debug, Clone)]
 pub struct SlotNotifier {
-    /// A slot was freed.
+    /// Notified when a slot is freed.
     pub slot_freed: Arc<Notify>,
-    /// What is in flight has changed.
+    /// Notified when the load in flight has changed.
     pub load_changed: Arc<Notify>,
 }
 
-/// A request counted at an upstream until it is dropped.
+/// Slot at an upstream: counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct Slot {
     upstream: Arc<Upstream>,
-    /// Version of the weights that was chosen with it.
+    /// Version of the weights that was chosen with the upstream.
     pub version: Option<WeightsVersion>,
     unread: u64,
-    told: SlotNotifier,
-    /// Held while it is a suspect's.
+    notifier: SlotNotifier,
+    /// Trial in progress, if the request is a suspect.
     pub(crate) trial: Option<TrialGuard>,
 }
 
 impl Slot {
-    /// Counts a request with a prompt of `unread` tokens.
+    /// Acquires a slot for a request with a prompt of `unread` tokens.
     pub fn acquire(
         upstream: Arc<Upstream>,
         version: Option<WeightsVersion>,
         unread: u64,
-        told: SlotNotifier,
+        notifier: SlotNotifier,
     ) -> Slot {
         let mut state = upstream.state();
         state.requests += 1;
         state.unread += unread;
-        state.chosen = Some(clock::now());
+        state.last_chosen = Some(clock::now());
         drop(state);
-        told.load_changed.notify_one();
+        notifier.load_changed.notify_one();
         Slot {
             upstream,
             version,
             unread,
-            told,
+            notifier,
             trial: None,
         }
     }
 
-    /// The upstream.
+    /// Returns the upstream.
     pub fn upstream(&self) -> &Arc<Upstream> {
         &self.upstream
     }
 
-    /// Notes that the prompt has been read: the first event came.
+    /// Records that the first event arrived, so the prompt has been read.
     pub fn record_first_event(&mut self) {
         if self.unread == 0 {
             return;
@@ -429,7 +434,7 @@
         let mut state = self.upstream.state();
         state.unread = state.unread.saturating_sub(self.unread);
         self.unread = 0;
-        self.told.load_changed.notify_one();
+        self.notifier.load_changed.notify_one();
     }
 }
 
@@ -439,7 +444,7 @@
         let mut state = self.upstream.state();
         state.requests = state.requests.saturating_sub(1);
         drop(state);
-        self.told.slot_freed.notify_one();
-        self.told.load_changed.notify_one();
+        self.notifier.slot_freed.notify_one();
+        self.notifier.load_changed.notify_one();
     }
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -1,10 +1,10 @@
-//! Decisions that need no network: budgets, releases, events.
+//! Decisions that need no network: the retry budget, releases, refusals and the splitting of events.
 
 use std::time::{Duration, Instant};
 
 use catalog::{Release, ReleaseList};
 use decide::retry_budget::RetryBudget;
-use gateway::events::Events;
+use gateway::events::EventBuffer;
 use gateway::refusal::Refusal;
 use gateway::release::Releases;
 use proptest::prelude::*;
@@ -32,15 +32,15 @@
     }
 }
 
-/// Spends until the budget is used up; returns how often it could.
-fn spend_all(budget: &RetryBudget, gateways: usize, now: Instant) -> usize {
+/// Uses up the budget and returns the number of retries that it allowed.
+fn use_up(budget: &RetryBudget, gateways: usize, now: Instant) -> usize {
     (0..10_000)
         .take_while(|_| budget.withdraw(&service(), gateways, now))
         .count()
 }
 
 #[test]
-fn gateways_together_stay_within_the_budget() {
+fn retry_budget_holds_over_all_gateways() {
     let (ratio, slack, gateways) = (0.2, 100.0, 7);
     let now = Instant::now();
     let mut spent = 0;
@@ -52,28 +52,28 @@
             budget.deposit(&service(), now);
             requests += 1;
         }
-        spent += spend_all(&budget, gateways, now);
+        spent += use_up(&budget, gateways, now);
     }
 
-    let most = ratio * requests as f64 + slack;
-    assert!(spent as f64 <= most, "{spent} of {most}");
-    assert!(spent as f64 >= most / 2.0, "{spent} of {most}");
+    let limit = ratio * requests as f64 + slack;
+    assert!(spent as f64 <= limit, "{spent} of {limit}");
+    assert!(spent as f64 >= limit / 2.0, "{spent} of {limit}");
 }
 
 #[test]
-fn a_budget_comes_back_when_its_window_has_passed() {
+fn retry_budget_refills_after_its_window() {
     let budget = RetryBudget::new(WINDOW, 0.2, 10.0);
     let now = Instant::now();
-    let spent = spend_all(&budget, 1, now);
+    let spent = use_up(&budget, 1, now);
     assert!(spent > 0 && !budget.withdraw(&service(), 1, now));
 
     let later = now + WINDOW + Duration::from_millis(1);
 
-    assert_eq!(spend_all(&budget, 1, later), spent);
+    assert_eq!(use_up(&budget, 1, later), spent);
 }
 
 #[test]
-fn older_versions_may_begin_requests_until_shortly_before_the_bound() {
+fn older_versions_begin_requests_until_shortly_before_the_bound() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
     releases.apply(list(0, &[]), now);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn each_release_counts_from_its_own_time() {
+fn each_release_takes_effect_by_its_own_time() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
     releases.apply(list(0, &[]), now);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_release_found_at_the_start_is_due_when_the_process_is_held_to_its_bounds() {
+fn release_found_at_start_takes_effect_after_contact_time() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
 
@@ -113,26 +113,26 @@
 }
 
 #[test]
-fn only_refusals_of_what_has_not_run_promise_so() {
+fn only_refusals_before_execution_return_503() {
     let after = Duration::from_secs(1);
-    let promises = [
+    let not_run = [
         Refusal::NotReady(after),
         Refusal::Busy(after),
         Refusal::NoUpstream(after),
         Refusal::NotTaken(after),
         Refusal::NoTime(after),
     ];
-    for refusal in promises {
+    for refusal in not_run {
         assert_eq!(refusal.status(), 503);
-        assert!(refusal.answer().headers().contains_key("retry-after"));
+        assert!(refusal.response().headers().contains_key("retry-after"));
     }
     for refusal in [Refusal::TimedOut, Refusal::Lost("reset".to_owned())] {
         assert!(matches!(refusal.status(), 502 | 504));
-        assert!(!refusal.answer().headers().contains_key("retry-after"));
+        assert!(!refusal.response().headers().contains_key("retry-after"));
     }
 }
 
-/// A stream of `n` events, as an engine writes it.
+/// Returns a stream of `n` events, as an engine writes it.
 fn stream(n: usize) -> Vec<u8> {
     (1..=n)
         .flat_map(|i| format!("id: {i}\ndata: {}\n\n", "x".repeat(i % 7)).into_bytes())
@@ -143,52 +143,52 @@
     #![proptest_config(cases::cases(200))]
 
     #[test]
-    fn events_come_out_whole_however_the_bytes_are_cut(
+    fn splits_events_for_any_chunking_of_the_bytes(
         n in 1_usize..20,
-        cuts in proptest::collection::vec(1_usize..40, 1..60),
+        lens in proptest::collection::vec(1_usize..40, 1..60),
     ) {
         let bytes = stream(n);
-        let mut events = Events::default();
+        let mut events = EventBuffer::default();
         let mut out = Vec::new();
         let mut rest = &bytes[..];
-        let mut cuts = cuts.iter().cycle();
+        let mut lens = lens.iter().cycle();
 
         while !rest.is_empty() {
-            let cut = (*cuts.next().expect("an endless cycle")).min(rest.len());
-            events.push(&rest[..cut]);
-            rest = &rest[cut..];
-            if let Some(whole) = events.take() {
-                prop_assert!(whole.ends_with(b"\n\n"));
-                out.extend_from_slice(&whole);
+            let len = (*lens.next().expect("an endless iterator")).min(rest.len());
+            events.push(&rest[..len]);
+            rest = &rest[len..];
+            if let Some(complete) = events.take_complete() {
+                prop_assert!(complete.ends_with(b"\n\n"));
+                out.extend_from_slice(&complete);
                 let last = out.windows(2).filter(|w| w == b"\n\n").count().to_string();
-                prop_assert_eq!(events.last(), Some(&last));
+                prop_assert_eq!(events.last_id(), Some(&last));
             }
         }
 
-        prop_assert!(events.is_whole());
+        prop_assert!(events.is_complete());
         prop_assert_eq!(out, bytes);
     }
 
     #[test]
-    fn a_part_of_an_event_is_never_taken_for_whole(n in 1_usize..20, short in 1_usize..8) {
+    fn never_returns_a_partial_event(n in 1_usize..20, short in 1_usize..8) {
         let bytes = stream(n);
-        let mut events = Events::default();
+        let mut events = EventBuffer::default();
 
         events.push(&bytes[..bytes.len() - short]);
-        let whole = events.take();
+        let complete = events.take_complete();
 
-        let taken = whole.map_or(0, |w| w.len());
+        let taken = complete.map_or(0, |w| w.len());
         prop_assert!(taken <= bytes.len() - short);
-        prop_assert!(!events.is_whole());
+        prop_assert!(!events.is_complete());
     }
 }
 
-/// What a day showed: version 3 had been released 2.6 s after version 2. The write of version 2, whose answer had
-/// been lost, took effect again after that, so that the store said version 2 from then on. Gateways told it to
-/// loaders as the newest, and those that had not brought version 3 yet took version 2; after all processes
-/// had been killed, nobody knew of version 3 any more, and requests began on version 2 for 31 s and longer.
+/// Guards against reverting a release: version 3 was released 2.6 s after version 2, and the write of version 2, whose
+/// response had been lost, took effect again afterwards, so the store held version 2 from then on. Gateways sent it to
+/// loaders as the newest, and loaders without version 3 loaded version 2. After all processes were killed, no process
+/// knew version 3, and requests began on version 2 for 31 s and longer.
 #[test]
-fn a_version_that_was_released_is_not_taken_back_by_a_late_write_of_an_older_one() {
+fn late_write_of_an_older_version_does_not_revert_a_release() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
     releases.apply(list(1, &[2]), now);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_version_that_an_engine_holds_was_released_whatever_the_store_says() {
+fn version_held_by_an_engine_counts_as_released() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     let now = Instant::now();
     releases.apply(list(1, &[2]), now);
@@ -212,13 +212,13 @@
     assert_eq!(
         releases.oldest_allowed(&model(), now),
         0,
-        "older ones go on for a while"
+        "older versions remain allowed for a while"
     );
     assert_eq!(releases.oldest_allowed(&model(), now + CONTACT_TIME), 3);
 }
 
 #[test]
-fn the_version_of_the_start_is_no_release() {
+fn initial_version_is_not_a_release() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
 
     releases.observe(&model(), catalog::FIRST_VERSION, Instant::now());
@@ -227,32 +227,32 @@
 }
 
 #[test]
-fn who_knows_less_is_told_whatever_its_revision() {
+fn newer_than_compares_versions_not_revisions() {
     let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
     releases.apply(list(9, &[3]), Instant::now());
 
-    let behind = releases.newer_than(&list(9, &[2]).releases);
-    let level = releases.newer_than(&list(1, &[3]).releases);
+    let for_older = releases.newer_than(&list(9, &[2]).releases);
+    let for_same = releases.newer_than(&list(1, &[3]).releases);
 
-    assert_eq!(behind.and_then(|l| l.version(&model())), Some(3));
-    assert_eq!(level, None);
+    assert_eq!(for_older.and_then(|l| l.version(&model())), Some(3));
+    assert_eq!(for_same, None);
 }
 
 proptest! {
     #![proptest_config(cases::cases(200))]
 
     #[test]
-    fn lists_in_any_order_leave_the_highest_version(
-        heard in proptest::collection::vec((0_u64..50, 1_u64..9), 1..20),
+    fn lists_in_any_order_keep_the_highest_version(
+        received in proptest::collection::vec((0_u64..50, 1_u64..9), 1..20),
     ) {
         let releases = Releases::new(VERSION_TIME, CONTACT_TIME);
         let now = Instant::now();
 
-        for (revision, version) in &heard {
+        for (revision, version) in &received {
             releases.apply(list(*revision, &[*version]), now);
         }
 
-        let highest = heard.iter().map(|(_, version)| *version).max();
+        let highest = received.iter().map(|(_, version)| *version).max();
         prop_assert_eq!(releases.newest().borrow().version(&model()), highest);
         prop_assert_eq!(releases.oldest_allowed(&model(), now + VERSION_TIME), highest.unwrap_or(0));
     }
--- a/crates/gateway/tests/spans.rs
+++ b/crates/gateway/tests/spans.rs
@@ -1,10 +1,10 @@
-//! Where the time of a request goes.
+//! Time that a request spends in each span.
 
 use std::time::{Duration, Instant};
 
 use gateway::spans::{Span, Spans};
 
-/// A moment so long ago.
+/// Returns the instant `ms` milliseconds ago.
 fn ago(ms: u64) -> Instant {
     let now = clock::now();
     now.checked_sub(Duration::from_millis(ms))
@@ -12,18 +12,18 @@
 }
 
 #[test]
-fn the_time_of_several_tries_is_summed() {
+fn sums_spans_over_attempts() {
     let spans = Spans::default();
 
     spans.add(Span::Connect, ago(20));
     spans.add(Span::Connect, ago(30));
 
     assert!(spans.time(Span::Connect) >= Duration::from_millis(50));
-    assert_eq!(spans.time(Span::Line), Duration::ZERO);
+    assert_eq!(spans.time(Span::Queue), Duration::ZERO);
 }
 
 #[test]
-fn a_log_line_names_all_spans_in_the_order_of_the_path() {
+fn displays_all_spans_in_path_order() {
     let spans = Spans::default();
 
     let line = spans.to_string();
