--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -129,7 +129,9 @@
                     let draw = rand::rng().random_range(0.0..1.0);
                     return Err(Refusal::NotBefore(delay_until_available(remaining, draw)));
                 }
-                Pick::NoUpstream => return Err(Refusal::NoUpstream(retry_delay(Reason::NoUpstream))),
+                Pick::NoUpstream => {
+                    return Err(Refusal::NoUpstream(retry_delay(Reason::NoUpstream)));
+                }
             }
         }
         let now = clock::now();
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -131,7 +131,14 @@
         let draw = draw(cx, upstream, is_far, now);
         // Only a few gateways send to a cold or rate-limited upstream, and these pace their requests.
         let is_contended = slow_start == SlowStart::Warm && limit.is_none();
-        if is_contended && !should_try(ask.free_capacity(&candidate), gateways, is_far, has_waited, draw)
+        if is_contended
+            && !should_try(
+                ask.free_capacity(&candidate),
+                gateways,
+                is_far,
+                has_waited,
+                draw,
+            )
         {
             continue;
         }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -254,7 +254,8 @@
         let mut state = self.state();
         // Incarnations derive from the time of day, which may have been set back on the loader's VM.
         let is_newer = state.status.as_ref().is_none_or(|(known, at)| {
-            let is_later = (status.incarnation, status.sequence) > (known.incarnation, known.sequence);
+            let is_later =
+                (status.incarnation, status.sequence) > (known.incarnation, known.sequence);
             is_later || now.saturating_duration_since(*at) >= STATUS_TIME
         });
         if !is_newer {
