--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -73,7 +73,7 @@
     let model = service.engine.as_ref().and(req.metadata.model.as_ref());
     let oldest_allowed = model.map_or(0, |model| cx.releases.oldest_allowed(model, now));
     let (near_gateways, all_gateways) = (cx.near_gateways(), cx.gateways());
-    let entries = cx.registry.entries(&req.service);
+    let entries = cx.upstreams.entries(&req.service);
     let drained = cx.drains.current();
     let sums = cx.loads.peer_loads();
     let feedback = cx.feedback.current();
@@ -102,7 +102,7 @@
         }
         let others = sums.get(&upstream.addr);
         let is_healthy = !snapshot.is_ejected && !is_failing(upstream, &snapshot, others, now);
-        let is_far = upstream.domain != cx.registry.domain;
+        let is_far = upstream.domain != cx.upstreams.domain;
         let slow_start = match service.cold_rate.filter(|_| snapshot.is_cold) {
             None => SlowStart::Warm,
             Some(rate) => slow_start_state(cx, upstream, &snapshot, rate, now),
@@ -246,7 +246,7 @@
 fn sender_rank(cx: &Cx, upstream: &Upstream) -> Option<usize> {
     let peers = cx.peers.borrow();
     let others = peers.near_gateways.keys();
-    let may_rank = upstream.domain == cx.registry.domain && peers.includes_self;
+    let may_rank = upstream.domain == cx.upstreams.domain && peers.includes_self;
     may_rank.then(|| senders::rank(&upstream.addr.to_string(), &cx.cfg.node.vm, others))
 }
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -66,7 +66,7 @@
     if ended.is_empty() {
         return;
     }
-    let all = cx.registry.all();
+    let all = cx.upstreams.all();
     for upstream in all.iter().filter(|u| ended.contains(&u.incarnation)) {
         record_health(upstream, Health::Unreachable);
     }
@@ -90,7 +90,7 @@
     if let Some(newer) = cx.releases.newer_than(&note.releases) {
         beacon.send(&Msg::Releases(newer), [from]);
     }
-    if cx.registry.apply_status(note, now) {
+    if cx.upstreams.apply_status(note, now) {
         cx.admission.slot_freed().notify_one();
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -78,7 +78,7 @@
     /// Configuration in force; `None` until one is known.
     pub catalog: watch::Receiver<Option<Arc<Catalog>>>,
     /// Upstreams.
-    pub registry: UpstreamTable,
+    pub upstreams: UpstreamTable,
     /// Failure domains that operators have drained.
     pub drains: Drains,
     /// Feedback of upstreams in their responses.
@@ -170,7 +170,7 @@
         let cfg = deps.cfg;
         Cx {
             retry_budget: RetryBudget::new(cfg.retry_window, cfg.retry_ratio, cfg.retry_slack),
-            registry: UpstreamTable::new(cfg.node.domain.clone(), cfg.return_time),
+            upstreams: UpstreamTable::new(cfg.node.domain.clone(), cfg.return_time),
             drains: Drains::default(),
             feedback: Feedback::default(),
             releases: Releases::new(cfg.node.version_time, cfg.node.contact_time),
@@ -214,7 +214,7 @@
     /// Returns whether callers' requests can be served.
     pub fn is_ready(&self) -> bool {
         let stopping = *self.stop.borrow();
-        !stopping && self.catalog.borrow().is_some() && self.registry.is_loaded()
+        !stopping && self.catalog.borrow().is_some() && self.upstreams.is_loaded()
     }
 }
 
--- a/crates/gateway/src/load_updates.rs
+++ b/crates/gateway/src/load_updates.rs
@@ -259,7 +259,7 @@
 }
 
 fn own_loads(cx: &Cx) -> Vec<Load> {
-    let all = cx.registry.all();
+    let all = cx.upstreams.all();
     let loads = all.iter().map(|u| u.load());
     loads.filter(|l| l.requests > 0 || l.failed > 0).collect()
 }
--- a/crates/gateway/src/rate_limit_updates.rs
+++ b/crates/gateway/src/rate_limit_updates.rs
@@ -38,7 +38,7 @@
         send(&cx, &beacon, due.near, due.far, RATE_LIMITS, number);
         if now.saturating_duration_since(purged) >= PURGE_INTERVAL {
             purged = now;
-            cx.feedback.purge(&cx.registry.incarnations(), now);
+            cx.feedback.purge(&cx.upstreams.incarnations(), now);
         }
     }
 }
