--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -1,4 +1,4 @@
-//! Load balancing: chooses the upstream of a request, by [`decide::load_balancing`].
+//! Chooses the upstream of a request by the cost that [`decide::load_balancing`] computes for each candidate.
 //!
 //! A candidate is in a place where the request may run and in no drained failure domain, accepts new requests, holds a
 //! version that may begin requests, and hasn't been tried yet. Ejected upstreams and those that fail most of their
@@ -24,8 +24,7 @@
 use crate::Cx;
 use crate::loads::PeerLoad;
 use crate::request::RoutedRequest;
-use crate::upstream::Snapshot;
-use crate::upstream::Upstream;
+use crate::upstream::{Snapshot, Upstream};
 
 /// Result of choosing an upstream.
 #[derive(Debug)]
@@ -69,13 +68,13 @@
     has_waited: bool,
 ) -> Pick {
     let now = clock::now();
-    let ask = ask(cx, req, service);
+    let requirements = requirements(cx, req, service);
     let model = service.engine.as_ref().and(req.metadata.model.as_ref());
     let oldest_allowed = model.map_or(0, |model| cx.releases.oldest_allowed(model, now));
     let (near_gateways, all_gateways) = (cx.near_gateways(), cx.gateways());
     let entries = cx.upstreams.entries(&req.service);
     let drained = cx.drains.current();
-    let sums = cx.loads.peer_loads();
+    let peer_loads = cx.loads.peer_loads();
     let feedback = cx.feedback.current();
     let mut rng = rand::rng();
     let mut search = Search::default();
@@ -100,8 +99,8 @@
         {
             continue;
         }
-        let others = sums.get(&upstream.addr);
-        let is_healthy = !snapshot.is_ejected && !is_failing(upstream, &snapshot, others, now);
+        let peer_load = peer_loads.get(&upstream.addr);
+        let is_healthy = !snapshot.is_ejected && !is_failing(upstream, &snapshot, peer_load, now);
         let is_far = upstream.domain != cx.upstreams.domain;
         let slow_start = match service.cold_rate.filter(|_| snapshot.is_cold) {
             None => SlowStart::Warm,
@@ -123,7 +122,7 @@
             continue;
         }
         search.has_healthy |= is_healthy;
-        let candidate = candidate(&snapshot, others, is_far);
+        let candidate = candidate(&snapshot, peer_load, is_far);
         let gateways = match is_far {
             true => all_gateways,
             false => near_gateways,
@@ -133,7 +132,7 @@
         let is_contended = slow_start == SlowStart::Warm && limit.is_none();
         if is_contended
             && !should_try(
-                ask.free_capacity(&candidate),
+                requirements.free_capacity(&candidate),
                 gateways,
                 is_far,
                 has_waited,
@@ -142,7 +141,7 @@
         {
             continue;
         }
-        if let Some(cost) = ask.cost(&candidate) {
+        if let Some(cost) = requirements.cost(&candidate) {
             let cost = cost + rng.random_range(0.0..JITTER);
             search.offer(cost, upstream, snapshot.serving_version, is_healthy);
         }
@@ -251,30 +250,30 @@
 }
 
 /// Returns whether an upstream fails most of the requests that all gateways send to it.
-fn is_failing(upstream: &Upstream, snapshot: &Snapshot, others: PeerLoad, now: Instant) -> bool {
+fn is_failing(upstream: &Upstream, snapshot: &Snapshot, peer_load: PeerLoad, now: Instant) -> bool {
     // Few upstreams fail at all; the decay of counts is computed for these only.
-    if !OutcomeCounts::may_be_failing(others.outcomes.failed + snapshot.max_failed) {
+    if !OutcomeCounts::may_be_failing(peer_load.outcomes.failed + snapshot.max_failed) {
         return false;
     }
     let own = upstream.outcome_counts(now);
-    let ended = OutcomeCounts {
-        failed: others.outcomes.failed + own.failed,
-        answered: others.outcomes.answered + own.answered,
+    let counts = OutcomeCounts {
+        failed: peer_load.outcomes.failed + own.failed,
+        answered: peer_load.outcomes.answered + own.answered,
     };
-    ended.is_failing()
+    counts.is_failing()
 }
 
 /// Returns a draw in 0..1 for an upstream. It stays the same for as long as other gateways don't know what this one
 /// sends.
 fn draw(cx: &Cx, upstream: &Upstream, is_far: bool, now: Instant) -> f64 {
     let since_start = now.saturating_duration_since(cx.started);
-    let moment = since_start.as_millis() / draw_period(is_far).as_millis();
+    let period = since_start.as_millis() / draw_period(is_far).as_millis();
     // The upper half of the hash converts to a float exactly.
-    let hash = cx.random_state.hash_one((upstream.addr, moment)) >> 32;
+    let hash = cx.random_state.hash_one((upstream.addr, period)) >> 32;
     hash as f64 / f64::from(u32::MAX)
 }
 
-fn ask(cx: &Cx, req: &RoutedRequest, service: &Service) -> Requirements {
+fn requirements(cx: &Cx, req: &RoutedRequest, service: &Service) -> Requirements {
     let expected_tokens = req
         .metadata
         .expected_tokens
@@ -288,11 +287,11 @@
     }
 }
 
-fn candidate(snapshot: &Snapshot, others: PeerLoad, is_far: bool) -> Candidate {
+fn candidate(snapshot: &Snapshot, peer_load: PeerLoad, is_far: bool) -> Candidate {
     Candidate {
         slots: snapshot.slots,
-        requests: snapshot.requests + others.requests,
-        unread: snapshot.unread + others.unread,
+        requests: snapshot.requests + peer_load.requests,
+        unread: snapshot.unread + peer_load.unread,
         own_unread: snapshot.unread,
         is_far,
         leaves_in: snapshot.leaves_in,
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -13,14 +13,10 @@
 use web::{BodyError, Request, Response, full, read_body};
 
 use crate::Cx;
-use crate::admission::acquire_slot;
-use crate::admission::queue_deadline;
-use crate::confirm::decision;
-use crate::confirm::wait_for_confirmation;
-use crate::loss;
-use crate::loss::ResponseLoss;
-use crate::record::RequestOutcome;
-use crate::record::RequestRecord;
+use crate::admission::{acquire_slot, queue_deadline};
+use crate::confirm::{decision, wait_for_confirmation};
+use crate::loss::{self, ResponseLoss};
+use crate::record::{RequestOutcome, RequestRecord};
 use crate::refusal::Refusal;
 use crate::relay::{self, EventStream};
 use crate::request::{RequestMetadata, RoutedRequest};
@@ -283,7 +279,7 @@
         if let Some(refusal) = check_limits(cx, &req, &attempts) {
             return attempts.give_up(refusal, record);
         }
-        // The request may have become a suspect while it was queued.
+        // Whether the request is a suspect, or on trial, may have changed while it was queued.
         slot.trial = match cx.suspects.begin_trial(&req, slot.upstream().addr).await {
             Ok(trial) => trial,
             Err(refusal) => return attempts.give_up(refusal, record),
--- a/crates/gateway/src/loss.rs
+++ b/crates/gateway/src/loss.rs
@@ -23,7 +23,7 @@
 const PART: &str = "loss";
 
 /// Timeout of the connection that probes whether an upstream has exited. A round trip between failure domains takes
-/// 6 ms; if connecting takes much longer, the VM or the link is down, and nothing follows for the process.
+/// 6 ms; if connecting takes much longer, the VM or the link is down, which proves nothing about the process.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Time in which an exiting process closes all of its sockets. A retry after a response that broke off while its
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -286,7 +286,7 @@
         let until = (clock::now() + RESUME_SLOT_WAIT).min(req.deadline);
         let slot = acquire_slot(cx, req, service, &self.tried, isolation, until).await;
         let mut slot = slot.map_err(|_| "no upstream can go on")?;
-        // The request may have become a suspect while it was queued.
+        // Whether the request is a suspect, or on trial, may have changed while it was queued.
         slot.trial = cx
             .suspects
             .begin_trial(req, slot.upstream().addr)
--- a/crates/gateway/src/send.rs
+++ b/crates/gateway/src/send.rs
@@ -43,7 +43,7 @@
     Unreached(String),
     /// The upstream rejected the request; it has certainly not run there.
     NotRun(String),
-    /// The request may have run, without a response. The caller records it by [`crate::loss::record`].
+    /// The request may have run, without a response. To be recorded by [`crate::loss::record`].
     Lost(ResponseLoss),
 }
 
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -5,14 +5,9 @@
 use std::time::{Duration, Instant};
 
 use base::{DomainName, Fingerprint, LifeId, Model, Revision};
-use beacon::EngineStatus;
-use beacon::Holding;
-use beacon::Load;
-use catalog::ServiceName;
-use catalog::StartTime;
-use catalog::WeightsVersion;
-use decide::outlier_detection::OutcomeCounts;
-use decide::outlier_detection::OutcomeTracker;
+use beacon::{EngineStatus, Holding, Load};
+use catalog::{ServiceName, StartTime, WeightsVersion};
+use decide::outlier_detection::{OutcomeCounts, OutcomeTracker};
 use tokio::sync::Notify;
 
 use crate::suspects::TrialGuard;
