--- a/crates/gateway/src/attempt_ages.rs
+++ b/crates/gateway/src/attempt_ages.rs
@@ -1,4 +1,4 @@
-//! How long ago callers first asked, by route.
+//! Attempt ages: the time since the first attempt of a request, estimated per route from callers' timeouts.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -6,25 +6,26 @@
 use base::Map;
 use decide::attempt_age::AttemptAgeEstimator;
 
-/// What callers of each route state.
+/// Estimators of the attempt age, by route.
 #[derive(Debug, Default)]
 pub struct AttemptAges {
     routes: Mutex<Map<String, AttemptAgeEstimator>>,
 }
 
 impl AttemptAges {
-    /// Time since the caller of a request first asked; zero where that can't be told.
-    pub fn attempt_age(&self, route: &str, patience: Option<Duration>, now: Instant) -> Duration {
-        let Some(patience) = patience else {
+    /// Returns the time since the first attempt of a request whose caller waits for `timeout`; zero where it can't be
+    /// estimated.
+    pub fn attempt_age(&self, route: &str, timeout: Option<Duration>, now: Instant) -> Duration {
+        let Some(timeout) = timeout else {
             return Duration::ZERO;
         };
         let mut routes = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
         match routes.get_mut(route) {
-            Some(stated) => stated.observe(patience, now),
+            Some(stated) => stated.observe(timeout, now),
             None => {
-                // The first request of a route, so that no name is copied for the others.
+                // Only the first request of a route copies its name.
                 let mut stated = AttemptAgeEstimator::new(now);
-                let waited = stated.observe(patience, now);
+                let waited = stated.observe(timeout, now);
                 routes.insert(route.to_owned(), stated);
                 waited
             }
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -1,10 +1,11 @@
-//! Confirmations of the configuration, before a request is denied by it.
+//! Confirmation of the configuration before it denies a request.
 //!
-//! Whoever reads the store for the failure domain is asked, one question at a time for all requests that
-//! wait; that gateway has its own copy confirmed by the store where it is too old. No other asks the store: an
-//! answer may be the whole configuration, and the link to the store is shared. A reader that stands still is
-//! replaced by the next in rank within a second.
-//! Ages count from the moment at which a question left, so they are never too low.
+//! A gateway sends its query to the gateway that reads the store for the failure domain, one query at a time for all
+//! waiting requests. That gateway has its own replica confirmed by the store where it is too old. No other gateway
+//! queries the store: a response may be the complete configuration, and the link to the store is shared. A stalled
+//! reader is replaced by the next gateway in rank within a second.
+//!
+//! Ages count from the time at which a query was sent, so they are never too low.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -20,32 +21,32 @@
 /// Log prefix of this part.
 const PART: &str = "confirm";
 
-/// Longest wait of another gateway's question for the store, whose answers take up to 0.2 s while it is
-/// slow. What the copy here is worth is told then, so that the other knows that this one isn't gone.
-const PASSING_WAIT: Duration = Duration::from_millis(250);
+/// Maximum wait for the store on behalf of another gateway. The store takes up to 0.2 s to respond while it is slow.
+/// After this wait the replica is sent with its age, so that the other gateway knows that this one is reachable.
+const SERVE_WAIT: Duration = Duration::from_millis(250);
 
-/// Longest wait for another gateway: for as long as it may wait itself, and the way there and back.
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a query to another gateway: its own maximum wait, [`SERVE_WAIT`], and the round trip.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What is known of confirmations, and who is asked for them.
+/// State of confirmations, and the client that queries for them.
 #[derive(Debug)]
 pub struct Confirmations {
     denials: Mutex<DenialPolicy>,
-    /// Told that a question is over, whatever came of it.
-    over: watch::Sender<bool>,
-    /// Has what reads the store read it at once.
+    /// `true` while no query is in progress.
+    idle: watch::Sender<bool>,
+    /// Wakes the reader of the store.
     store: Arc<Notify>,
     client: Client,
 }
 
 impl Confirmations {
-    /// Nothing asked yet; a change is to be in force within `config_time`.
+    /// Creates the state before the first query; a change has to be in force within `config_time`.
     pub fn new(config_time: Duration, store: Arc<Notify>) -> Confirmations {
         Confirmations {
             denials: Mutex::new(DenialPolicy::new(config_time)),
-            over: watch::Sender::new(true),
+            idle: watch::Sender::new(true),
             store,
-            client: Client::new(Dial::within(ASK_TIMEOUT)),
+            client: Client::new(Dial::within(QUERY_TIMEOUT)),
         }
     }
 
@@ -58,67 +59,67 @@
     }
 }
 
-/// Time since the store confirmed the configuration in force here; the longest there is where a newer one is
-/// held but not in force, or none is.
+/// Returns the time since the store confirmed the configuration in force. It is [`Duration::MAX`] where none is in
+/// force, or the replica holds a newer one that isn't.
 pub(crate) fn age(cx: &Cx) -> Duration {
-    let held = cx.mirror.get(cx.configuration.name);
+    let replica = cx.mirror.get(cx.configuration.name);
     let in_force = *cx.configuration.in_force.borrow();
-    let held = held.filter(|copy| copy.revision == in_force);
-    held.map_or(Duration::MAX, |copy| clock::since(copy.confirmed))
+    let replica = replica.filter(|r| r.revision == in_force);
+    replica.map_or(Duration::MAX, |r| clock::since(r.confirmed))
 }
 
-/// What to do with a request that the configuration in force here doesn't allow.
+/// Returns what to do with a request that the configuration in force doesn't allow.
 pub(crate) fn decision(cx: &Cx) -> Decision {
     cx.confirmations.denials().decide(age(cx), clock::now())
 }
 
-/// Asks for a confirmation, unless that is under way, and waits until the configuration was confirmed or a
-/// newer one is in force, or until it is known that neither can be had now; `until` at the latest.
+/// Starts a query for a confirmation unless one is in progress. Waits until the configuration was confirmed, a newer
+/// one is in force, or the query has finished without either; until `until` at the latest.
 pub(crate) async fn wait_for_confirmation(cx: &Arc<Cx>, until: Instant) {
     let mut confirmed = cx.mirror.confirmations();
     let mut in_force = cx.configuration.in_force.subscribe();
-    let mut over = cx.confirmations.over.subscribe();
-    if cx.confirmations.over.send_replace(false) {
-        tokio::spawn(ask(cx.clone()));
+    let mut idle = cx.confirmations.idle.subscribe();
+    if cx.confirmations.idle.send_replace(false) {
+        tokio::spawn(query(cx.clone()));
     }
-    let news = async {
+    let progress = async {
         tokio::select! {
             _ = confirmed.changed() => {}
             _ = in_force.changed() => {}
-            _ = over.wait_for(|over| *over) => {}
+            _ = idle.wait_for(|idle| *idle) => {}
         }
     };
-    if clock::timeout_at(until, news).await.is_err() {
-        debug!(target: PART, "{PART}: event=late");
+    if clock::timeout_at(until, progress).await.is_err() {
+        debug!(target: PART, "{PART}: event=confirmation_timed_out");
     }
 }
 
-/// Says that a question is over, also where its task ends otherwise.
-struct Question(Arc<Cx>);
+/// Marks a query as finished when dropped, even if its task panics or is cancelled.
+struct QueryGuard(Arc<Cx>);
 
-impl Drop for Question {
+impl Drop for QueryGuard {
     fn drop(&mut self) {
-        self.0.confirmations.over.send_replace(true);
+        self.0.confirmations.idle.send_replace(true);
     }
 }
 
 /// Has the configuration confirmed.
-async fn ask(cx: Arc<Cx>) {
-    let question = Question(cx);
-    let cx = &question.0;
+async fn query(cx: Arc<Cx>) {
+    let guard = QueryGuard(cx);
+    let cx = &guard.0;
     let reaches_store = *cx.reaches_store.borrow();
     let own = &cx.cfg.node.vm;
     let reader = cx.loads.store_reader(own, reaches_store, clock::now());
     match reader {
-        Some(reader) => ask_gateway(cx, reader).await,
+        Some(reader) => query_gateway(cx, reader).await,
         None if reaches_store => {
             let wait = cx.cfg.node.store_timeout;
             read_store(cx, cx.confirmations.oldest(), wait).await;
         }
-        // A store that can't be reached is asked again and again by all else; none waits for it here.
+        // Other parts keep retrying an unreachable store; no request waits for it here.
         None => {}
     }
-    in_force(cx).await;
+    wait_in_force(cx).await;
     let age = age(cx);
     if age > cx.confirmations.oldest() {
         warn!(target: PART, "{PART}: event=unconfirmed revision={} age={age:?} reaches_store={reaches_store}", cx.mirror.revision(cx.configuration.name));
@@ -126,63 +127,63 @@
     }
 }
 
-/// Waits a moment while a newer configuration that has come is put in force.
-async fn in_force(cx: &Cx) {
-    let held = cx.mirror.revision(cx.configuration.name);
+/// Waits for up to `start_wait` until the newest configuration that was received is in force.
+async fn wait_in_force(cx: &Cx) {
+    let newest = cx.mirror.revision(cx.configuration.name);
     let mut in_force = cx.configuration.in_force.subscribe();
-    let newest = in_force.wait_for(|revision| *revision >= held);
-    if tokio::time::timeout(cx.cfg.start_wait, newest)
+    let reached = in_force.wait_for(|revision| *revision >= newest);
+    if tokio::time::timeout(cx.cfg.start_wait, reached)
         .await
         .is_err()
     {
-        debug!(target: PART, "{PART}: event=not_in_force revision={held}");
+        debug!(target: PART, "{PART}: event=not_in_force revision={newest}");
     }
 }
 
-async fn ask_gateway(cx: &Cx, from: std::net::SocketAddr) {
+async fn query_gateway(cx: &Cx, from: std::net::SocketAddr) {
     let name = cx.configuration.name;
-    // Its age grows on the way.
+    // The age of the replica grows in transit.
     let oldest = cx.confirmations.oldest();
-    let oldest = oldest - ASK_TIMEOUT.min(oldest / 2);
+    let oldest = oldest - QUERY_TIMEOUT.min(oldest / 2);
     let client = &cx.confirmations.client;
-    let asked = mirror::fetch_confirmed(&cx.mirror, name, client, from, ASK_TIMEOUT, oldest);
-    match asked.await {
-        Ok(newer) => debug!(target: PART, "{PART}: event=asked from={from} newer={newer}"),
-        Err(e) => debug!(target: PART, "{PART}: event=not_asked from={from} why=\"{e}\""),
+    let response = mirror::fetch_confirmed(&cx.mirror, name, client, from, QUERY_TIMEOUT, oldest);
+    match response.await {
+        Ok(newer) => debug!(target: PART, "{PART}: event=queried from={from} newer={newer}"),
+        Err(e) => debug!(target: PART, "{PART}: event=query_failed from={from} why=\"{e}\""),
     }
 }
 
-/// Has the store read from here, and waits until the copy is at most so old.
+/// Reads the store from this gateway, and waits for up to `wait` until the replica is at most `oldest` old.
 async fn read_store(cx: &Cx, oldest: Duration, wait: Duration) {
     let mut confirmed = cx.mirror.confirmations();
     let mut changed = cx.mirror.changes();
     cx.confirmations.store.notify_one();
-    let young = || {
+    let is_fresh = || {
         cx.mirror
             .age(cx.configuration.name)
             .is_some_and(|age| age <= oldest)
     };
-    let news = async {
-        while !young() {
+    let refreshed = async {
+        while !is_fresh() {
             tokio::select! {
                 _ = confirmed.changed() => {}
                 _ = changed.changed() => {}
             }
         }
     };
-    if tokio::time::timeout(wait, news).await.is_err() {
-        debug!(target: PART, "{PART}: event=store_late");
+    if tokio::time::timeout(wait, refreshed).await.is_err() {
+        debug!(target: PART, "{PART}: event=store_timed_out");
     }
 }
 
-/// Has the configuration confirmed before it is passed on to a process that wants it so; a process that asks
-/// is never asked back.
+/// Has the configuration confirmed before it is served to a process that requests a confirmed replica. The store is
+/// read directly, so that two gateways never query each other.
 pub(crate) async fn confirm_before_serving(cx: &Cx, req: &Request) {
     let Some(oldest) = mirror::requested_max_age(req) else {
         return;
     };
     let age = cx.mirror.age(cx.configuration.name);
     if age.is_none_or(|age| age > oldest) {
-        read_store(cx, oldest, PASSING_WAIT).await;
+        read_store(cx, oldest, SERVE_WAIT).await;
     }
 }
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -1,6 +1,6 @@
 //! Drained failure domains: their upstreams get no new requests until the drain is cancelled.
 //!
-//! Requests in flight complete there, and loaders go on staging weights, so that the domain is ready when the
+//! Requests in flight complete there, and loaders continue to stage weights, so that the domain is ready when the
 //! drain is cancelled.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,7 +25,7 @@
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Drains in force now.
+    /// Returns the drains in force.
     pub fn current(&self) -> Arc<DrainList> {
         self.lock().clone()
     }
@@ -39,32 +39,32 @@
     pub fn replace(&self, list: DrainList, known: &Domains) -> Vec<DomainName> {
         let before = std::mem::replace(&mut *self.lock(), Arc::new(list.clone()));
         for (domain, revision) in list.iter().filter(|(d, _)| !before.contains_key(*d)) {
-            started(domain, *revision, known);
+            log_start(domain, *revision, known);
         }
         let cancelled = before.keys().filter(|domain| !list.contains_key(*domain));
         let cancelled: Vec<DomainName> = cancelled.cloned().collect();
         for domain in &cancelled {
             info!(target: PART, "{PART}: event=cancelled domain={domain}");
-            gauge(domain, 0.0);
+            set_gauge(domain, 0.0);
         }
-        let drains_all =
+        let is_all_drained =
             known.names().next().is_some() && known.names().all(|d| list.contains_key(d));
-        if drains_all && list != *before {
+        if is_all_drained && list != *before {
             warn!(target: PART, "{PART}: event=all_drained domains={} remedy=\"cancel a drain, until then all requests are rejected\"", list.len());
         }
         cancelled
     }
 }
 
-fn started(domain: &str, revision: Revision, known: &Domains) {
+fn log_start(domain: &str, revision: Revision, known: &Domains) {
     info!(target: PART, "{PART}: event=started domain={domain} revision={revision}");
-    gauge(domain, 1.0);
+    set_gauge(domain, 1.0);
     if known.names().next().is_some() && !known.has(domain) {
         let hint = base::nearest::hint(domain, known.names().map(String::as_str));
         warn!(target: PART, "{PART}: event=unknown_domain domain={domain} remedy=\"no failure domain has this name{hint}\"");
     }
 }
 
-fn gauge(domain: &str, drained: f64) {
+fn set_gauge(domain: &str, drained: f64) {
     metrics::gauge!("driftnotch_drained", "domain" => domain.to_owned()).set(drained);
 }
--- a/crates/gateway/src/introduction.rs
+++ b/crates/gateway/src/introduction.rs
@@ -1,8 +1,8 @@
-//! Introductions: a process that starts tells a gateway of itself, and learns of gateways of its failure domain.
+//! Introductions: a process that starts announces itself to a gateway and learns the gateways of its failure domain.
 //!
-//! A process knows only a few addresses at its start, those in its settings. If each process read the list from
-//! the store and registered itself there, a start of all would queue at the store for seconds. Instead the gateways
-//! at these addresses collect introductions and register many processes in one transaction.
+//! At its start a process knows only a few addresses, those in its settings. If each process read the list from the
+//! store and registered itself there, a simultaneous start of all processes would queue at the store for seconds.
+//! Instead, the gateways at these addresses collect introductions and register many processes in one transaction.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -18,24 +18,24 @@
 /// Log prefix of this part.
 const PART: &str = "introduction";
 
-/// Path that processes post themselves to.
+/// Path of introductions.
 pub const PATH: &str = "/introduce";
 
 /// Largest body, in bytes.
 const MAX_BODY: usize = 4 << 10;
 
-/// Longest wait for a body.
+/// Timeout for reading a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Gateways that a process is told of. They are the first by name, so that few processes find themselves first.
-const GATEWAYS_TOLD: usize = 8;
+/// Maximum number of gateways in an answer. They are the first by name, so that few processes rank themselves first.
+const MAX_GATEWAYS: usize = 8;
 
-/// Longest wait for a first gateway of the asker's failure domain.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
+/// Maximum wait for a first gateway of the process's failure domain.
+const FIRST_GATEWAY_WAIT: Duration = Duration::from_millis(50);
 
-/// A process that introduced itself.
+/// Introduction of a process.
 #[derive(Debug)]
-struct Introduced {
+struct Introduction {
     member: Member,
     is_registered: bool,
 }
@@ -43,15 +43,15 @@
 /// Processes that introduced themselves here.
 #[derive(Debug)]
 pub struct Introductions {
-    /// Processes that are registered, as they are known here.
+    /// Registered processes, as known to this gateway.
     listed: watch::Receiver<Vec<Member>>,
-    introduced: Mutex<Map<VmId, Introduced>>,
+    introduced: Mutex<Map<VmId, Introduction>>,
     arrived: watch::Sender<()>,
     pending: Notify,
 }
 
 impl Introductions {
-    /// None so far.
+    /// Creates an empty collection.
     pub fn new(listed: watch::Receiver<Vec<Member>>) -> Introductions {
         Introductions {
             listed,
@@ -61,15 +61,15 @@
         }
     }
 
-    fn introduced(&self) -> MutexGuard<'_, Map<VmId, Introduced>> {
+    fn introduced(&self) -> MutexGuard<'_, Map<VmId, Introduction>> {
         self.introduced
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a process, which is to be registered.
+    /// Adds a process that has to be registered.
     pub fn add(&self, member: Member) {
-        let introduced = Introduced {
+        let introduced = Introduction {
             member,
             is_registered: false,
         };
@@ -79,12 +79,12 @@
         self.pending.notify_one();
     }
 
-    /// Waits until a process is to be registered.
+    /// Waits until a process has to be registered.
     pub async fn wait_for_pending(&self) {
         self.pending.notified().await;
     }
 
-    /// Processes that are to be registered: those that introduced themselves and aren't listed.
+    /// Returns the processes that have to be registered: those that introduced themselves and aren't listed.
     pub fn unregistered(&self, listed: &[Member]) -> Vec<Member> {
         let mut introduced = self.introduced();
         for known in introduced.values_mut().filter(|k| !k.is_registered) {
@@ -94,7 +94,7 @@
         missing.map(|known| known.member.clone()).collect()
     }
 
-    /// Notes that processes were registered.
+    /// Records that processes were registered.
     pub fn mark_registered(&self, members: &[Member]) {
         let mut introduced = self.introduced();
         for member in members {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Gateways of the process's failure domain, but itself; the first by name.
+    /// Returns the first gateways by name of the process's failure domain, without the process itself.
     pub fn nearby_gateways(&self, process: &Member) -> Vec<Member> {
         let is_near = |m: &&Member| {
             m.role == Role::Gateway && m.domain == process.domain && m.vm != process.vm
@@ -123,7 +123,7 @@
         near.extend(members.filter(is_near).map(|m| (m.vm.clone(), m.clone())));
         let mut near: Vec<Member> = near.into_values().collect();
         near.sort_by(|a, b| a.vm.cmp(&b.vm));
-        near.truncate(GATEWAYS_TOLD);
+        near.truncate(MAX_GATEWAYS);
         near
     }
 
@@ -144,14 +144,14 @@
             }
         };
         self.add(member.clone());
-        match postcard::to_stdvec(&self.first_near(&member).await) {
+        match postcard::to_stdvec(&self.wait_for_nearby_gateways(&member).await) {
             Ok(buf) => Response::new(full(Bytes::from(buf))),
             Err(e) => text(500, format!("the list can't be encoded: {e}\n")),
         }
     }
 
-    /// Waits a moment for a gateway of the process's failure domain, should none be known yet.
-    async fn first_near(&self, process: &Member) -> Vec<Member> {
+    /// Returns the gateways of the process's failure domain; waits up to [`FIRST_GATEWAY_WAIT`] while none is known.
+    async fn wait_for_nearby_gateways(&self, process: &Member) -> Vec<Member> {
         let mut arrived = self.arrived.subscribe();
         let known = async {
             loop {
@@ -161,7 +161,7 @@
                 }
             }
         };
-        let known = tokio::time::timeout(FIRST_WAIT, known).await;
+        let known = tokio::time::timeout(FIRST_GATEWAY_WAIT, known).await;
         known.unwrap_or_default()
     }
 }
--- a/crates/gateway/src/load_sums.rs
+++ b/crates/gateway/src/load_sums.rs
@@ -1,5 +1,5 @@
-//! Sums of loads by upstream, kept as loads come and go: a note costs time by what it holds, not by how many
-//! gateways have sent one.
+//! Sums of loads by upstream, updated incrementally: the cost of an update depends on its size, not on the number of
+//! gateways that have sent one.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use crate::loads::PeerLoad;
 
-/// Sum of the loads of one upstream.
+/// Sum of the loads at one upstream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 struct Sum {
     requests: u32,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes away loads that were added before.
+    /// Subtracts loads that were added before.
     pub(crate) fn remove(&mut self, loads: &[Load]) {
         for load in loads {
             let Some(sum) = self.sums.get_mut(&load.upstream) else {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// The sum of an upstream's loads.
-    pub(crate) fn of(&self, upstream: &SocketAddr) -> PeerLoad {
+    /// Returns the sum of the loads at an upstream.
+    pub(crate) fn get(&self, upstream: &SocketAddr) -> PeerLoad {
         let sum = self.sums.get(upstream).copied().unwrap_or_default();
         PeerLoad {
             requests: sum.requests,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Upstreams with any load.
+    /// Iterates over the upstreams with any load.
     pub(crate) fn upstreams(&self) -> impl Iterator<Item = &SocketAddr> {
         self.sums.keys()
     }
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -228,7 +228,7 @@
         upstreams.sort();
         upstreams.dedup();
         let load = |upstream: SocketAddr| {
-            let sum = state.near_sums.of(&upstream) + own_sums.of(&upstream);
+            let sum = state.near_sums.get(&upstream) + own_sums.get(&upstream);
             Load {
                 upstream,
                 requests: u16::try_from(sum.requests).unwrap_or(u16::MAX),
@@ -249,7 +249,7 @@
 impl PeerLoads<'_> {
     /// What others have in flight at an upstream.
     pub fn get(&self, upstream: &SocketAddr) -> PeerLoad {
-        self.0.near_sums.of(upstream) + self.0.far_sums.of(upstream)
+        self.0.near_sums.get(upstream) + self.0.far_sums.get(upstream)
     }
 }
 
--- a/crates/gateway/src/release.rs
+++ b/crates/gateway/src/release.rs
@@ -1,4 +1,4 @@
-//! Versions of weights that were released, and until when older ones may begin requests.
+//! Released versions of weights, and the time until which older versions may begin requests.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,16 +7,16 @@
 use catalog::{FIRST_VERSION, Release, ReleaseList, WeightsVersion};
 use tokio::sync::watch;
 
-/// Part of the bound left unused: a request may wait at an engine before it begins, and on a narrow
-/// link it may reach the engine a second after it was sent, or even taken back.
+/// Part of the bound that is left unused. A request may be queued at an engine before it begins, and on a
+/// narrow link it may arrive a second after it was sent, or even after it was cancelled.
 const MARGIN: Duration = Duration::from_millis(1500);
 
-/// Part of [`MARGIN`] after which a request that was sent and hasn't begun is taken back.
+/// Part of [`MARGIN`] after which a request that was sent and hasn't begun is cancelled.
 const BEGIN_MARGIN: Duration = Duration::from_millis(900);
 
-/// A version, and until when older ones may begin requests.
+/// A released version, and the time until which older versions may begin requests.
 #[derive(Debug, Clone, Copy)]
-struct Until {
+struct Deadline {
     version: WeightsVersion,
     until: Instant,
 }
@@ -27,39 +27,39 @@
     newest: watch::Sender<ReleaseList>,
     version_time: Duration,
     contact_time: Duration,
-    first: Mutex<bool>,
-    releases: Mutex<Map<Model, Vec<Until>>>,
+    is_first: Mutex<bool>,
+    releases: Mutex<Map<Model, Vec<Deadline>>>,
 }
 
 impl Releases {
-    /// No releases. Older versions may begin requests for `version_time` after a release; of one
-    /// found at the start of the process it isn't known when it was made, so only for
-    /// `contact_time`, from when on the process is held to its bounds.
+    /// Creates an empty collection. Older versions may begin requests for `version_time` after a release. The time
+    /// of a release that is found at the start of the process is unknown, so its bound is `contact_time`, from
+    /// which on the process has to keep its bounds.
     pub fn new(version_time: Duration, contact_time: Duration) -> Releases {
         let (newest, _) = watch::channel(ReleaseList::default());
         Releases {
             newest,
             version_time,
             contact_time,
-            first: Mutex::new(true),
+            is_first: Mutex::new(true),
             releases: Mutex::default(),
         }
     }
 
-    /// Takes what the platform's store says of releases. A higher version that is known already stays, see
+    /// Applies the releases in the platform's store. A higher version that is already known stays, see
     /// [`ReleaseList::merge`].
     pub fn apply(&self, list: ReleaseList, now: Instant) {
-        let mut first = self.first.lock().unwrap_or_else(PoisonError::into_inner);
-        let bound = match std::mem::take(&mut *first) {
+        let mut is_first = self.is_first.lock().unwrap_or_else(PoisonError::into_inner);
+        let bound = match std::mem::take(&mut *is_first) {
             true => self.contact_time.min(self.version_time),
             false => self.version_time,
         };
-        drop(first);
+        drop(is_first);
         self.add(&list, now + bound.saturating_sub(MARGIN));
     }
 
-    /// Takes a version that an engine holds, as its loader tells: it was released before, also where the store
-    /// doesn't say so any more. It isn't known when.
+    /// Records a version that a loader reports for its engine. It was released at an unknown time, even where the
+    /// store doesn't list it any more.
     pub fn observe(&self, model: &Model, version: WeightsVersion, now: Instant) {
         if version <= FIRST_VERSION || self.newest.borrow().version(model) >= Some(version) {
             return;
@@ -79,35 +79,35 @@
             let known = releases.entry(model.clone()).or_default();
             if known.last().is_none_or(|r| r.version < *version) {
                 let version = *version;
-                known.push(Until { version, until });
+                known.push(Deadline { version, until });
             }
         }
         drop(releases);
         self.newest.send_if_modified(|newest| newest.merge(list));
     }
 
-    /// The newest releases, where another process knows less.
+    /// Returns the newest releases where they are ahead of those that another process knows.
     pub fn newer_than(&self, known: &[Release]) -> Option<ReleaseList> {
         let newest = self.newest.borrow();
         newest.is_ahead_of(known).then(|| newest.clone())
     }
 
-    /// Told of the newest releases.
+    /// Subscribes to the newest releases.
     pub fn newest(&self) -> watch::Receiver<ReleaseList> {
         self.newest.subscribe()
     }
 
-    /// Until when a version may begin requests; `None` where no newer one was released.
+    /// Returns the time until which a version may begin requests; `None` where no newer one was released.
     pub fn may_begin_until(&self, model: &Model, version: WeightsVersion) -> Option<Instant> {
         let releases = self.releases.lock().unwrap_or_else(PoisonError::into_inner);
         let newer = releases.get(model)?.iter().find(|r| r.version > version)?;
         Some(newer.until + BEGIN_MARGIN)
     }
 
-    /// Oldest version that may begin requests now.
+    /// Returns the oldest version that may begin requests now.
     pub fn oldest_allowed(&self, model: &Model, now: Instant) -> WeightsVersion {
         let releases = self.releases.lock().unwrap_or_else(PoisonError::into_inner);
-        let due = |r: &&Until| r.until <= now;
+        let due = |r: &&Deadline| r.until <= now;
         let newest_due = releases
             .get(model)
             .and_then(|all| all.iter().rev().find(due));
