--- a/crates/gateway/src/announcements.rs
+++ b/crates/gateway/src/announcements.rs
@@ -1,4 +1,4 @@
-//! What other gateways are still to be told of requests under which upstreams ended, and when.
+//! Schedules of updates to other gateways, and the pending updates of suspects.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,154 +8,164 @@
 use decide::quarantine::{Quarantine, SuspectState, Trial, UpstreamExit};
 use tokio::sync::Notify;
 
-/// Times after which news is told again, in case that a datagram was lost: of 10 in 100 lost, four leave out
-/// one receiver in 10,000.
-const ROUNDS: [Duration; 3] = [
+/// Delays after which an update is repeated, in case a datagram is lost: at a loss of 10 in 100, four transmissions
+/// miss one receiver in 10,000.
+const REPEAT_DELAYS: [Duration; 3] = [
     Duration::from_millis(60),
     Duration::from_millis(250),
     Duration::from_millis(1000),
 ];
 
-/// Time after which news that doesn't fit what goes to other failure domains is told there.
-const FAR_INTERVAL: Duration = Duration::from_millis(60);
+/// Delay of updates to other failure domains that exceed the maximum number per message.
+const FAR_DELAY: Duration = Duration::from_millis(60);
 
-/// Whom news goes to.
+/// Receivers of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
     /// Gateways of the own failure domain.
     Near,
-    /// These, and one or two of each other domain, which pass it on.
+    /// These, and one or two of each other failure domain, which relay it.
     Everywhere,
 }
 
-/// An announcement that is to be sent, and sent again in case that datagrams are lost.
+/// Schedule of an update that is sent, and repeated in case datagrams are lost.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Announcement {
     pub(crate) scope: Scope,
     pub(crate) due: Instant,
-    /// Index of the next pause in [`ROUNDS`].
-    round: usize,
+    /// Index of the next delay in [`REPEAT_DELAYS`].
+    repetition: usize,
 }
 
 impl Announcement {
-    /// One that is sent in all rounds.
+    /// Returns a schedule with all repetitions.
     pub(crate) fn repeated(due: Instant, scope: Scope) -> Announcement {
-        let round = 0;
-        Announcement { scope, due, round }
+        let repetition = 0;
+        Announcement {
+            scope,
+            due,
+            repetition,
+        }
     }
 
-    /// One that is sent once.
+    /// Returns a schedule without repetitions.
     pub(crate) fn once(due: Instant, scope: Scope) -> Announcement {
-        let round = ROUNDS.len();
-        Announcement { scope, due, round }
+        let repetition = REPEAT_DELAYS.len();
+        Announcement {
+            scope,
+            due,
+            repetition,
+        }
     }
 
-    /// What follows after it was sent.
+    /// Returns the schedule after a transmission; `None` after the last one.
     pub(crate) fn next(self, now: Instant) -> Option<Announcement> {
-        let pause = ROUNDS.get(self.round)?;
+        let delay = REPEAT_DELAYS.get(self.repetition)?;
         Some(Announcement {
-            due: now + *pause,
-            round: self.round + 1,
+            due: now + *delay,
+            repetition: self.repetition + 1,
             ..self
         })
     }
 }
 
-/// What is to be told now.
+/// Updates that are due.
 #[derive(Debug, Default)]
 pub(crate) struct DueSuspects {
-    /// To gateways of the failure domain.
+    /// For gateways of the own failure domain.
     pub(crate) near: Vec<SuspectUpdate>,
-    /// To other failure domains.
+    /// For other failure domains.
     pub(crate) far: Vec<SuspectUpdate>,
 }
 
-/// News that is still to be told.
+/// Updates that are still to be sent, by request.
 #[derive(Debug, Default)]
 pub(crate) struct PendingUpdates {
-    untold: Mutex<Map<Fingerprint, Announcement>>,
+    scheduled: Mutex<Map<Fingerprint, Announcement>>,
     changed: Notify,
 }
 
 impl PendingUpdates {
-    fn untold(&self) -> MutexGuard<'_, Map<Fingerprint, Announcement>> {
-        self.untold.lock().unwrap_or_else(PoisonError::into_inner)
+    fn scheduled(&self) -> MutexGuard<'_, Map<Fingerprint, Announcement>> {
+        self.scheduled
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has news told, from the next moment on.
+    /// Schedules an update of a suspect, due at once and with all repetitions.
     pub(crate) fn add(&self, request: Fingerprint, scope: Scope) {
-        let mut untold = self.untold();
-        let before = untold.get(&request).map(|u| u.scope);
+        let mut scheduled = self.scheduled();
+        let before = scheduled.get(&request).map(|a| a.scope);
         let scope = before.map_or(scope, |before| before.max(scope));
-        untold.insert(request, Announcement::repeated(clock::now(), scope));
-        drop(untold);
+        scheduled.insert(request, Announcement::repeated(clock::now(), scope));
+        drop(scheduled);
         self.changed.notify_one();
     }
 
-    /// Waits until there is something new to tell.
+    /// Waits until an update was added.
     pub(crate) async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// What is to be told now, the gravest first, at most so many cases to other failure domains; and when more
-    /// is.
+    /// Returns the updates that are due, the most severe first, with at most `max_far` for other failure domains; and
+    /// when the next ones are due. Schedules their repetitions.
     pub(crate) fn due(
         &self,
         quarantine: &Quarantine,
         now: Instant,
-        most_far: usize,
+        max_far: usize,
     ) -> (DueSuspects, Option<Instant>) {
-        let mut untold = self.untold();
+        let mut scheduled = self.scheduled();
         let mut due = DueSuspects::default();
-        let mut ready: Vec<Fingerprint> = untold
+        let mut ready: Vec<Fingerprint> = scheduled
             .iter()
-            .filter(|(_, u)| u.due <= now)
+            .filter(|(_, a)| a.due <= now)
             .map(|(r, _)| *r)
             .collect();
         ready.sort_by_cached_key(|r| {
-            std::cmp::Reverse(quarantine.suspect(r).map_or(0, |c| c.exits.len()))
+            std::cmp::Reverse(quarantine.suspect(r).map_or(0, |s| s.exits.len()))
         });
         for request in ready {
-            let (Some(mut news), Some(case)) =
-                (untold.remove(&request), quarantine.suspect(&request))
+            let (Some(mut announcement), Some(suspect)) =
+                (scheduled.remove(&request), quarantine.suspect(&request))
             else {
                 continue;
             };
-            let note = suspect_update(request, case, now);
-            due.near.push(note.clone());
-            if news.scope == Scope::Everywhere {
-                if due.far.len() == most_far {
-                    news.due = now + FAR_INTERVAL;
-                    untold.insert(request, news);
+            let update = suspect_update(request, suspect, now);
+            due.near.push(update.clone());
+            if announcement.scope == Scope::Everywhere {
+                if due.far.len() == max_far {
+                    announcement.due = now + FAR_DELAY;
+                    scheduled.insert(request, announcement);
                     continue;
                 }
-                due.far.push(note);
+                due.far.push(update);
             }
-            if let Some(next) = news.next(now) {
-                untold.insert(request, next);
+            if let Some(next) = announcement.next(now) {
+                scheduled.insert(request, next);
             }
         }
-        let next = untold.values().map(|u| u.due).min();
+        let next = scheduled.values().map(|a| a.due).min();
         (due, next)
     }
 }
 
-/// What others are told of a request.
+/// Returns the update that describes a suspect.
 pub(crate) fn suspect_update(
     request: Fingerprint,
-    case: &SuspectState,
+    suspect: &SuspectState,
     now: Instant,
 ) -> SuspectUpdate {
     let ago = |at: Instant| now.saturating_duration_since(at);
     SuspectUpdate {
         request,
-        exits: case
+        exits: suspect
             .exits
             .iter()
             .map(|e| (e.incarnation, ago(e.at)))
             .collect(),
-        finished: case.completed.map(ago),
-        trial: case.trial.map(|t| TrialUpdate {
+        finished: suspect.completed.map(ago),
+        trial: suspect.trial.map(|t| TrialUpdate {
             number: t.number,
             upstream: t.upstream,
             ago: ago(t.started),
@@ -163,12 +173,12 @@
     }
 }
 
-/// What they tell, as this gateway's clock has it.
-pub(crate) fn case_from_update(note: SuspectUpdate, now: Instant) -> SuspectState {
-    // What is older than this clock tells was as long ago as it can tell.
+/// Returns the suspect that an update describes, in times of this gateway's clock.
+pub(crate) fn suspect_from_update(update: SuspectUpdate, now: Instant) -> SuspectState {
+    // The monotonic clock may not reach that far back.
     let at = |ago: Duration| now.checked_sub(ago).unwrap_or(now);
     SuspectState {
-        exits: note
+        exits: update
             .exits
             .into_iter()
             .map(|(incarnation, ago)| UpstreamExit {
@@ -176,8 +186,8 @@
                 at: at(ago),
             })
             .collect(),
-        completed: note.finished.map(at),
-        trial: note.trial.map(|t| Trial {
+        completed: update.finished.map(at),
+        trial: update.trial.map(|t| Trial {
             number: t.number,
             upstream: t.upstream,
             started: at(t.ago),
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -21,8 +21,9 @@
 /// Log prefix of this part.
 const PART: &str = "confirm";
 
-/// Maximum wait for the store on behalf of another gateway. The store takes up to 0.2 s to respond while it is slow.
-/// After this wait the replica is sent with its age, so that the other gateway knows that this one is reachable.
+/// Maximum wait for the store on behalf of another gateway; the store takes up to 0.2 s to respond while it is slow.
+/// After this wait the replica is served with its current age, so that the other gateway knows that this one is
+/// reachable.
 const SERVE_WAIT: Duration = Duration::from_millis(250);
 
 /// Timeout of a query to another gateway: its own maximum wait, [`SERVE_WAIT`], and the round trip.
@@ -31,31 +32,33 @@
 /// State of confirmations, and the client that queries for them.
 #[derive(Debug)]
 pub struct Confirmations {
-    denials: Mutex<DenialPolicy>,
+    denial_policy: Mutex<DenialPolicy>,
     /// `true` while no query is in progress.
     idle: watch::Sender<bool>,
     /// Wakes the reader of the store.
-    store: Arc<Notify>,
+    wake_reader: Arc<Notify>,
     client: Client,
 }
 
 impl Confirmations {
     /// Creates the state before the first query; a change has to be in force within `config_time`.
-    pub fn new(config_time: Duration, store: Arc<Notify>) -> Confirmations {
+    pub fn new(config_time: Duration, wake_reader: Arc<Notify>) -> Confirmations {
         Confirmations {
-            denials: Mutex::new(DenialPolicy::new(config_time)),
+            denial_policy: Mutex::new(DenialPolicy::new(config_time)),
             idle: watch::Sender::new(true),
-            store,
+            wake_reader,
             client: Client::new(Dial::within(QUERY_TIMEOUT)),
         }
     }
 
-    fn denials(&self) -> MutexGuard<'_, DenialPolicy> {
-        self.denials.lock().unwrap_or_else(PoisonError::into_inner)
+    fn denial_policy(&self) -> MutexGuard<'_, DenialPolicy> {
+        self.denial_policy
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn oldest(&self) -> Duration {
-        self.denials().max_age()
+    fn max_age(&self) -> Duration {
+        self.denial_policy().max_age()
     }
 }
 
@@ -70,7 +73,9 @@
 
 /// Returns what to do with a request that the configuration in force doesn't allow.
 pub(crate) fn decision(cx: &Cx) -> Decision {
-    cx.confirmations.denials().decide(age(cx), clock::now())
+    cx.confirmations
+        .denial_policy()
+        .decide(age(cx), clock::now())
 }
 
 /// Starts a query for a confirmation unless one is in progress. Waits until the configuration was confirmed, a newer
@@ -114,16 +119,18 @@
         Some(reader) => query_gateway(cx, reader).await,
         None if reaches_store => {
             let wait = cx.cfg.node.store_timeout;
-            read_store(cx, cx.confirmations.oldest(), wait).await;
+            read_store(cx, cx.confirmations.max_age(), wait).await;
         }
         // Other parts keep retrying an unreachable store; no request waits for it here.
         None => {}
     }
     wait_in_force(cx).await;
     let age = age(cx);
-    if age > cx.confirmations.oldest() {
+    if age > cx.confirmations.max_age() {
         warn!(target: PART, "{PART}: event=unconfirmed revision={} age={age:?} reaches_store={reaches_store}", cx.mirror.revision(cx.configuration.name));
-        cx.confirmations.denials().record_failure(clock::now());
+        cx.confirmations
+            .denial_policy()
+            .record_failure(clock::now());
     }
 }
 
@@ -143,25 +150,25 @@
 async fn query_gateway(cx: &Cx, from: std::net::SocketAddr) {
     let name = cx.configuration.name;
     // The age of the replica grows in transit.
-    let oldest = cx.confirmations.oldest();
-    let oldest = oldest - QUERY_TIMEOUT.min(oldest / 2);
+    let max_age = cx.confirmations.max_age();
+    let max_age = max_age - QUERY_TIMEOUT.min(max_age / 2);
     let client = &cx.confirmations.client;
-    let response = mirror::fetch_confirmed(&cx.mirror, name, client, from, QUERY_TIMEOUT, oldest);
+    let response = mirror::fetch_confirmed(&cx.mirror, name, client, from, QUERY_TIMEOUT, max_age);
     match response.await {
         Ok(newer) => debug!(target: PART, "{PART}: event=queried from={from} newer={newer}"),
         Err(e) => debug!(target: PART, "{PART}: event=query_failed from={from} why=\"{e}\""),
     }
 }
 
-/// Reads the store from this gateway, and waits for up to `wait` until the replica is at most `oldest` old.
-async fn read_store(cx: &Cx, oldest: Duration, wait: Duration) {
+/// Reads the store from this gateway, and waits for up to `wait` until the replica is at most `max_age` old.
+async fn read_store(cx: &Cx, max_age: Duration, wait: Duration) {
     let mut confirmed = cx.mirror.confirmations();
     let mut changed = cx.mirror.changes();
-    cx.confirmations.store.notify_one();
+    cx.confirmations.wake_reader.notify_one();
     let is_fresh = || {
         cx.mirror
             .age(cx.configuration.name)
-            .is_some_and(|age| age <= oldest)
+            .is_some_and(|age| age <= max_age)
     };
     let refreshed = async {
         while !is_fresh() {
@@ -179,11 +186,11 @@
 /// Has the configuration confirmed before it is served to a process that requests a confirmed replica. The store is
 /// read directly, so that two gateways never query each other.
 pub(crate) async fn confirm_before_serving(cx: &Cx, req: &Request) {
-    let Some(oldest) = mirror::requested_max_age(req) else {
+    let Some(max_age) = mirror::requested_max_age(req) else {
         return;
     };
     let age = cx.mirror.age(cx.configuration.name);
-    if age.is_none_or(|age| age > oldest) {
-        read_store(cx, oldest, SERVE_WAIT).await;
+    if age.is_none_or(|age| age > max_age) {
+        read_store(cx, max_age, SERVE_WAIT).await;
     }
 }
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -1,8 +1,8 @@
-//! Feedback of upstreams in the headers of their answers: rate limits, drains and back-offs.
+//! Feedback of upstreams in the headers of their responses: rate limits, drains and back-offs.
 //!
-//! It is kept by incarnation and apart from [`Upstream`], since it outlasts an entry that is missing from the
-//! platform's list for a while. What follows from it is decided by [`decide::rate_limit`], [`decide::draining`] and
-//! [`decide::back_off`]; [`crate::rate_limit_updates`] sends rate limits to other gateways.
+//! It is stored by incarnation and separately from [`Upstream`], since it outlives an entry that is missing from the
+//! platform's list for a while. [`decide::rate_limit`], [`decide::draining`] and [`decide::back_off`] decide on its
+//! effects; [`crate::rate_limit_updates`] sends rate limits to other gateways.
 
 use std::fmt::Debug;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -16,16 +16,14 @@
 use tokio::sync::Notify;
 
 use crate::announcements::Scope;
-use crate::rate_limits::DueRateLimits;
-use crate::rate_limits::RateLimits;
-use crate::request::Advertised;
-use crate::request::ResponseMetadata;
+use crate::rate_limits::{DueRateLimits, RateLimits};
+use crate::request::{Advertised, ResponseMetadata};
 use crate::upstream::Upstream;
 
 /// Log prefix of this part.
 const PART: &str = "feedback";
 
-/// Time for which the feedback of an upstream that isn't listed is kept.
+/// Time for which the feedback of an upstream that isn't listed is retained.
 const UNLISTED_TIME: Duration = Duration::from_secs(600);
 
 /// Name of a header in logs.
@@ -41,9 +39,9 @@
 #[derive(Debug, Default)]
 struct State {
     rate_limits: RateLimits,
-    /// Upstreams that are draining, and when they first said so.
+    /// Upstreams that are draining, and when they first advertised it.
     draining: Map<LifeId, Instant>,
-    /// Ends of back-offs that upstreams asked of this gateway.
+    /// Ends of back-offs that upstreams requested of this gateway.
     back_offs: Map<LifeId, Instant>,
     /// Headers with an invalid value, and when they were last ignored.
     ignored: Map<(LifeId, HeaderName), Instant>,
@@ -54,30 +52,30 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records the head of an upstream's answer to a request that was sent at `sent`.
+    /// Records the head of an upstream's response to a request that was sent at `sent`.
     pub fn observe(
         &self,
         upstream: &Upstream,
-        reply: &ResponseMetadata,
+        response: &ResponseMetadata,
         sent: Instant,
         now: Instant,
     ) {
         let mut state = self.state();
-        state.ignore(upstream, "rate_limit", &reply.rate_limit, now);
-        state.ignore(upstream, "draining", &reply.draining, now);
-        state.ignore(upstream, "back_off", &reply.back_off, now);
-        state.observe_draining(upstream, &reply.draining, now);
-        state.observe_back_off(upstream, &reply.back_off, now);
+        state.log_invalid(upstream, "rate_limit", &response.rate_limit, now);
+        state.log_invalid(upstream, "draining", &response.draining, now);
+        state.log_invalid(upstream, "back_off", &response.back_off, now);
+        state.observe_draining(upstream, &response.draining, now);
+        state.observe_back_off(upstream, &response.back_off, now);
         let State { rate_limits, .. } = &mut *state;
-        let is_pending = rate_limits.observe(upstream, &reply.rate_limit, sent, now);
+        let is_pending = rate_limits.observe(upstream, &response.rate_limit, sent, now);
         drop(state);
         if is_pending {
             self.changed.notify_one();
         }
     }
 
-    /// Takes updates of another gateway, and relays those to `relay_to` that are newer than what is known. Returns
-    /// whether a limit was lifted.
+    /// Applies updates of another gateway, and relays those that are newer than the known limits to `relay_to`.
+    /// Returns whether a limit was lifted.
     pub fn receive(
         &self,
         updates: Vec<RateLimitUpdate>,
@@ -96,9 +94,9 @@
         is_lifted
     }
 
-    /// The feedback as it is now, locked while this is held.
-    pub fn current(&self) -> Current<'_> {
-        Current(self.state())
+    /// Locks the feedback and returns a view of it.
+    pub fn current(&self) -> FeedbackView<'_> {
+        FeedbackView(self.state())
     }
 
     /// Waits until updates may be pending.
@@ -106,17 +104,17 @@
         self.changed.notified().await;
     }
 
-    /// Takes the updates to other gateways that are due.
+    /// Returns the updates to other gateways that are due, and schedules their repetitions.
     pub fn due(&self, now: Instant) -> DueRateLimits {
         self.state().rate_limits.due(now)
     }
 
-    /// All rate limits that hold, for a gateway that has just started.
+    /// Returns the rate limits in force, for a gateway that has just started.
     pub(crate) fn updates(&self, now: Instant) -> Vec<RateLimitUpdate> {
         self.state().rate_limits.updates(now)
     }
 
-    /// Drops the feedback of upstreams that ended, and what has expired.
+    /// Drops expired feedback, and after [`UNLISTED_TIME`] that of upstreams that aren't listed.
     pub fn purge(&self, listed: &Set<LifeId>, now: Instant) {
         let State {
             rate_limits,
@@ -125,16 +123,16 @@
             ignored,
         } = &mut *self.state();
         let is_recent = |at: &Instant| now.saturating_duration_since(*at) < UNLISTED_TIME;
-        rate_limits.forget(listed, UNLISTED_TIME, now);
-        draining.retain(|life, at| listed.contains(life) || is_recent(at));
+        rate_limits.purge(listed, UNLISTED_TIME, now);
+        draining.retain(|incarnation, at| listed.contains(incarnation) || is_recent(at));
         back_offs.retain(|_, until| *until > now);
         ignored.retain(|_, at| is_recent(at));
     }
 }
 
 impl State {
-    /// Logs an invalid value, once per header and upstream for a while.
-    fn ignore<T: Debug>(
+    /// Logs an invalid value, once per header and upstream until [`Feedback::purge`] forgets it.
+    fn log_invalid<T: Debug>(
         &mut self,
         upstream: &Upstream,
         header: HeaderName,
@@ -180,32 +178,32 @@
     }
 }
 
-/// The feedback at a moment.
+/// Locked view of the feedback.
 #[derive(Debug)]
-pub struct Current<'a>(MutexGuard<'a, State>);
+pub struct FeedbackView<'a>(MutexGuard<'a, State>);
 
-impl Current<'_> {
-    /// The rate limit of an upstream.
-    pub fn rate_limit(&self, life: LifeId) -> Option<RateLimit> {
-        self.0.rate_limits.of(life)
+impl FeedbackView<'_> {
+    /// Returns the rate limit of an upstream.
+    pub fn rate_limit(&self, incarnation: LifeId) -> Option<RateLimit> {
+        self.0.rate_limits.get(incarnation)
     }
 
-    /// How many upstreams limit their rate.
+    /// Returns the number of upstreams that limit their rate.
     pub(crate) fn rate_limited(&self) -> usize {
         self.0.rate_limits.count()
     }
 
-    /// End of the back-off that an upstream asked of this gateway; it may be over.
-    pub fn back_off_until(&self, life: LifeId) -> Option<Instant> {
-        self.0.back_offs.get(&life).copied()
+    /// Returns the end of the back-off that an upstream requested of this gateway; it may be in the past.
+    pub fn back_off_until(&self, incarnation: LifeId) -> Option<Instant> {
+        self.0.back_offs.get(&incarnation).copied()
     }
 
-    /// Whether an answer of an upstream said that it is draining.
-    pub fn is_draining(&self, life: LifeId) -> bool {
-        self.0.draining.contains_key(&life)
+    /// Returns whether an upstream has advertised that it is draining.
+    pub fn is_draining(&self, incarnation: LifeId) -> bool {
+        self.0.draining.contains_key(&incarnation)
     }
 
-    /// How many upstreams said that they are draining.
+    /// Returns the number of upstreams that have advertised that they are draining.
     pub(crate) fn draining(&self) -> usize {
         self.0.draining.len()
     }
--- a/crates/gateway/src/introduction.rs
+++ b/crates/gateway/src/introduction.rs
@@ -27,7 +27,7 @@
 /// Timeout for reading a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Maximum number of gateways in an answer. They are the first by name, so that few processes rank themselves first.
+/// Maximum number of gateways in a response. They are the first by name, so that few processes rank themselves first.
 const MAX_GATEWAYS: usize = 8;
 
 /// Maximum wait for a first gateway of the process's failure domain.
--- a/crates/gateway/src/load_updates.rs
+++ b/crates/gateway/src/load_updates.rs
@@ -1,8 +1,9 @@
-//! What this gateway tells other processes by datagram.
+//! Sends loads, revisions of replicated documents, and releases by datagram.
 //!
-//! Within a failure domain it tells what it has in flight and which documents it holds: [`decide::fanout`]
-//! says whom. The first of a failure domain passes changes on, and tells other domains the sum. A release is
-//! told to the loaders of the failure domain as it becomes known.
+//! Within a failure domain each gateway sends its requests in flight and the revisions of its replicas;
+//! [`decide::fanout`] chooses the receivers. In a large failure domain a leader relays changes. The first gateway of
+//! the failure domain sends its sum to other domains. Releases are sent to the loaders of the failure domain as they
+//! become known.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,84 +25,85 @@
 /// Log prefix of this part.
 const PART: &str = "tell";
 
-/// Time between two notes to other failure domains: their links carry streams and weights too. Of 76 engines
-/// a note has 1.6 KB, so one in 125 ms takes 0.1 Mbit/s; to each of 13 gateways it took 1.3.
+/// Time between two updates to other failure domains, whose links also carry streams and weights. An update for 76
+/// engines has 1.6 KB, which takes 0.1 Mbit/s at this interval; sent to each of 13 gateways it would take 1.3 Mbit/s.
 const DOMAIN_LOAD_INTERVAL: Duration = Duration::from_millis(125);
 
-/// Loads in each such note that were told longest ago: of 204 engines each then comes again within 3 s.
-const REFRESHED: usize = 10;
+/// Number of loads that each such update repeats, the least recently sent ones: each of 204 engines is then repeated
+/// within 3 s.
+const REPEATED_LOADS: usize = 10;
 
-/// Why a note is sent.
+/// Reason for sending an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum News {
+enum Trigger {
     /// Requests have begun or ended.
     Load,
-    /// A document has changed.
+    /// A replicated document has changed.
     Document,
-    /// Other processes have come or gone, or all were told nothing for long.
-    Due,
-    /// Nothing was told for a while.
-    StillUp,
+    /// The list of peers has changed, or a full update to all gateways is due.
+    FullUpdate,
+    /// Nothing was sent for a while.
+    Heartbeat,
 }
 
-/// Tells other gateways of the failure domain what is in flight here, and which documents are held.
+/// Sends this gateway's load and the revisions of its replicas to other gateways of the failure domain.
 pub(crate) async fn send_updates(cx: Arc<Cx>, beacon: Beacon) {
     let mut documents = cx.mirror.changes();
     let mut peers = cx.peers.clone();
-    let mut told = clock::now();
-    let mut told_all = told;
+    let mut last_update = clock::now();
+    let mut last_full_update = last_update;
     loop {
-        let others = near_gateways(&cx, clock::now()).len();
-        let due = told_all + full_update_interval(others);
-        let news = tokio::select! {
-            Ok(()) = peers.changed() => News::Due,
-            _ = clock::sleep_until(due) => News::Due,
-            _ = clock::sleep_until(told + MAX_UPDATE_INTERVAL) => News::StillUp,
-            Ok(()) = documents.changed() => News::Document,
+        let peer_count = near_gateways(&cx, clock::now()).len();
+        let due = last_full_update + full_update_interval(peer_count);
+        let trigger = tokio::select! {
+            Ok(()) = peers.changed() => Trigger::FullUpdate,
+            _ = clock::sleep_until(due) => Trigger::FullUpdate,
+            _ = clock::sleep_until(last_update + MAX_UPDATE_INTERVAL) => Trigger::Heartbeat,
+            Ok(()) = documents.changed() => Trigger::Document,
             _ = cx.admission.load_changed() => {
-                let audience = audience(&cx, News::Load, others, clock::now());
-                tokio::time::sleep(batch_delay(audience)).await;
-                News::Load
+                let fan_out = select_fan_out(&cx, Trigger::Load, peer_count, clock::now());
+                tokio::time::sleep(batch_delay(fan_out)).await;
+                Trigger::Load
             }
         };
         let now = clock::now();
         let near = near_gateways(&cx, now);
-        let audience = audience(&cx, news, near.len(), now);
-        let note = load_note(&cx, largest_loads(own_loads(&cx)));
-        beacon.send(&Msg::Load(note), receivers(&cx, &near, audience));
-        told = now;
-        if audience == FanOut::All {
-            told_all = now;
+        let fan_out = select_fan_out(&cx, trigger, near.len(), now);
+        let update = load_update(&cx, largest_loads(own_loads(&cx)));
+        beacon.send(&Msg::Load(update), receivers(&cx, &near, fan_out));
+        last_update = now;
+        if fan_out == FanOut::All {
+            last_full_update = now;
         }
     }
 }
 
-fn audience(cx: &Cx, news: News, others: usize, now: Instant) -> FanOut {
-    match news {
-        News::Due => FanOut::All,
-        // Those that pass changes on tell all of a newer document; the others need not again.
-        News::Document if cx.loads.rank(&cx.cfg.node.vm, now) < LEADERS => FanOut::All,
-        News::Document | News::Load | News::StillUp => {
+fn select_fan_out(cx: &Cx, trigger: Trigger, others: usize, now: Instant) -> FanOut {
+    match trigger {
+        Trigger::FullUpdate => FanOut::All,
+        // The leaders announce a newer document to all gateways, so the others needn't.
+        Trigger::Document if cx.loads.rank(&cx.cfg.node.vm, now) < LEADERS => FanOut::All,
+        Trigger::Document | Trigger::Load | Trigger::Heartbeat => {
             change_fan_out(others, cx.loads.is_relayed(now))
         }
     }
 }
 
-/// Other gateways of the failure domain, and where they take datagrams: those that are listed, and those that
-/// were heard, since a list is a second behind.
+/// Returns the other gateways of the failure domain and their datagram addresses: those that are listed, and those
+/// that were recently seen, since the list lags by a second.
 pub(crate) fn near_gateways(cx: &Cx, now: Instant) -> Map<VmId, SocketAddr> {
     let mut near = cx.peers.borrow().near_gateways.clone();
     near.extend(cx.loads.addresses(now));
     near
 }
 
-/// Those among them that are told.
-fn receivers(cx: &Cx, near: &Map<VmId, SocketAddr>, audience: FanOut) -> Vec<SocketAddr> {
-    match audience {
+/// Returns the addresses of those that `fan_out` selects.
+fn receivers(cx: &Cx, near: &Map<VmId, SocketAddr>, fan_out: FanOut) -> Vec<SocketAddr> {
+    match fan_out {
         FanOut::All => near.values().copied().collect(),
         FanOut::Leaders => {
-            let first = cx.loads.leaders(&cx.cfg.node.vm, LEADERS, clock::now());
-            first
+            let leaders = cx.loads.leaders(&cx.cfg.node.vm, LEADERS, clock::now());
+            leaders
                 .iter()
                 .filter_map(|vm| near.get(vm))
                 .copied()
@@ -110,9 +112,9 @@
     }
 }
 
-/// Passes changes of load on to all gateways of the failure domain, while that falls to this one.
+/// Relays changes of load to all gateways of the failure domain, while [`should_relay`] selects this gateway.
 pub(crate) async fn relay_changes(cx: Arc<Cx>, beacon: Beacon) {
-    let mut passed = RelayedLoads::default();
+    let mut relayed = RelayedLoads::default();
     let mut pause = RELAY_INTERVAL;
     loop {
         tokio::time::sleep(pause).await;
@@ -120,14 +122,14 @@
         let near = near_gateways(&cx, now);
         let rank = cx.loads.rank(&cx.cfg.node.vm, now);
         if !should_relay(near.len(), rank, cx.loads.is_relayed(now)) {
-            passed = RelayedLoads::default();
+            relayed = RelayedLoads::default();
             pause = recheck_interval(rank);
             continue;
         }
         pause = RELAY_INTERVAL;
         let mut loads = cx.loads.near_loads(now);
         loads.push(own_change(&cx));
-        for msg in batch_messages(passed.changes(loads, now), Msg::LoadChanges) {
+        for msg in batch_messages(relayed.changes(loads, now), Msg::LoadChanges) {
             beacon.send(&msg, near.values().copied());
         }
     }
@@ -142,22 +144,22 @@
     }
 }
 
-/// Loads of each gateway as they were last passed on, and when anything of it was.
+/// Loads of each gateway as last relayed, and when a change of it was last relayed.
 #[derive(Debug, Default)]
 pub struct RelayedLoads {
     loads: Map<VmId, (Vec<Load>, Instant)>,
 }
 
 impl RelayedLoads {
-    /// What has changed since, and now and then which gateways are up though nothing of theirs has; notes
-    /// what is passed on now.
+    /// Returns the changes since the last call, including an empty one for each unchanged gateway of which nothing
+    /// was relayed for [`MAX_UPDATE_INTERVAL`], to show that it is up. Records them as relayed.
     pub fn changes(&mut self, gateways: Vec<LoadChange>, now: Instant) -> Vec<LoadChange> {
         let mut changes = Vec::new();
         for gateway in gateways {
             let LoadChange { from, loads, .. } = &gateway;
-            let before = self.loads.get(from);
-            let changed = changed(before.map_or(&[], |(loads, _)| loads), loads);
-            let is_due = before
+            let previous = self.loads.get(from);
+            let changed = changed(previous.map_or(&[], |(loads, _)| loads), loads);
+            let is_due = previous
                 .is_none_or(|(_, at)| now.saturating_duration_since(*at) >= MAX_UPDATE_INTERVAL);
             if is_due || !changed.is_empty() {
                 self.loads.insert(from.clone(), (loads.clone(), now));
@@ -171,8 +173,8 @@
     }
 }
 
-/// Loads that differ from before, and those that are gone, with nothing in flight. Answers alone are left to
-/// whole notes: they fade all the time.
+/// Returns the loads that differ from before, and an idle load for each upstream that had requests in flight and has
+/// no load any more. A change of `answered` alone is left to full updates, since it decays all the time.
 fn changed(before: &[Load], now: &[Load]) -> Vec<Load> {
     let differs = |load: &&Load| {
         let known = before.iter().find(|b| b.upstream == load.upstream);
@@ -180,76 +182,78 @@
             (b.requests, b.unread, b.failed) != (load.requests, load.unread, load.failed)
         })
     };
-    let is_gone = |b: &&Load| b.requests > 0 && !now.iter().any(|l| l.upstream == b.upstream);
-    let gone = before.iter().filter(is_gone).map(emptied);
-    now.iter().filter(differs).copied().chain(gone).collect()
+    let is_removed = |b: &&Load| b.requests > 0 && !now.iter().any(|l| l.upstream == b.upstream);
+    let removed = before.iter().filter(is_removed).map(idle);
+    now.iter().filter(differs).copied().chain(removed).collect()
 }
 
-/// Tells gateways of other failure domains what this one has in flight, while this gateway is the
-/// first of it.
+/// Sends the load of the failure domain to gateways of other failure domains, while this gateway ranks first.
 pub(crate) async fn send_domain_updates(cx: Arc<Cx>, beacon: Beacon) {
-    let mut told = PublishedLoads::default();
+    let mut published = PublishedLoads::default();
     let mut pause = DOMAIN_LOAD_INTERVAL;
     loop {
         tokio::time::sleep(pause).await;
         let rank = cx.loads.rank(&cx.cfg.node.vm, clock::now());
         if rank > 0 {
-            told = PublishedLoads::default();
+            published = PublishedLoads::default();
             pause = recheck_interval(rank);
             continue;
         }
         pause = DOMAIN_LOAD_INTERVAL;
-        let loads = told.next(cx.loads.domain_loads(&own_loads(&cx)));
-        let note = load_note(&cx, loads);
-        let to = receiver_per_domain(&cx.peers.borrow().far_gateways, note.sequence);
-        beacon.send(&Msg::DomainLoad(note), to);
+        let loads = published.next(cx.loads.domain_loads(&own_loads(&cx)));
+        let update = load_update(&cx, loads);
+        let to = receiver_per_domain(&cx.peers.borrow().far_gateways, update.sequence);
+        beacon.send(&Msg::DomainLoad(update), to);
     }
 }
 
-/// Loads of the failure domain as others were last told, and in which turn.
+/// Loads of the failure domain as last sent to others, and the round in which each was sent.
 #[derive(Debug, Default)]
 pub struct PublishedLoads {
     loads: Map<SocketAddr, (Load, u64)>,
-    turn: u64,
+    round: u64,
 }
 
 impl PublishedLoads {
-    /// What others are told next, as much as fits a note: loads that differ most from what they were told,
-    /// those that are gone with nothing in flight, and those that were told longest ago, should a note of
-    /// theirs have been lost.
+    /// Returns the loads of the next update, as many as fit: those that differ most from what was last sent, an idle
+    /// load for each upstream without one any more, and the least recently sent ones, whose update may have been
+    /// lost. Records them as sent.
     pub fn next(&mut self, now: Vec<Load>) -> Vec<Load> {
-        self.turn += 1;
-        let is_gone = |l: &Load| !now.iter().any(|n| n.upstream == l.upstream);
-        let told = self.loads.values().map(|(load, _)| *load);
-        let gone: Vec<Load> = told.filter(is_gone).map(|l| emptied(&l)).collect();
-        let all = now.into_iter().chain(gone);
+        self.round += 1;
+        let is_removed = |l: &Load| !now.iter().any(|n| n.upstream == l.upstream);
+        let published = self.loads.values().map(|(load, _)| *load);
+        let removed: Vec<Load> = published.filter(is_removed).map(|l| idle(&l)).collect();
+        let all = now.into_iter().chain(removed);
         let (mut changed, mut rest): (Vec<Load>, Vec<Load>) =
             all.partition(|load| self.difference(load) > 0);
         changed.sort_by_key(|load| std::cmp::Reverse(self.difference(load)));
-        rest.extend(changed.split_off(changed.len().min(MAX_LOADS - REFRESHED)));
+        rest.extend(changed.split_off(changed.len().min(MAX_LOADS - REPEATED_LOADS)));
         rest.retain(|load| self.loads.contains_key(&load.upstream));
-        rest.sort_by_key(|load| self.loads.get(&load.upstream).map(|(_, turn)| *turn));
-        changed.extend(rest.into_iter().take(REFRESHED));
+        rest.sort_by_key(|load| self.loads.get(&load.upstream).map(|(_, round)| *round));
+        changed.extend(rest.into_iter().take(REPEATED_LOADS));
         for load in &changed {
             match load.requests {
                 0 if load.failed == 0 => drop(self.loads.remove(&load.upstream)),
-                _ => drop(self.loads.insert(load.upstream, (*load, self.turn))),
+                _ => drop(self.loads.insert(load.upstream, (*load, self.round))),
             }
         }
         changed
     }
 
-    /// How much a load differs from what others were told, in prompt tokens.
+    /// Returns the difference between a load and what was last sent, in prompt tokens.
     fn difference(&self, load: &Load) -> u64 {
-        let told = self.loads.get(&load.upstream).map(|(told, _)| *told);
-        let told = told.unwrap_or_else(|| emptied(load));
-        let requests = u64::from(told.requests.abs_diff(load.requests));
-        requests * TOKENS_PER_REQUEST as u64 + u64::from(told.unread.abs_diff(load.unread))
+        let published = self
+            .loads
+            .get(&load.upstream)
+            .map(|(published, _)| *published);
+        let published = published.unwrap_or_else(|| idle(load));
+        let requests = u64::from(published.requests.abs_diff(load.requests));
+        requests * TOKENS_PER_REQUEST as u64 + u64::from(published.unread.abs_diff(load.unread))
     }
 }
 
-/// A load of which nothing is in flight any more.
-fn emptied(load: &Load) -> Load {
+/// Returns the load of an upstream with nothing in flight any more.
+fn idle(load: &Load) -> Load {
     Load {
         requests: 0,
         unread: 0,
@@ -264,7 +268,7 @@
     loads.filter(|l| l.requests > 0 || l.failed > 0).collect()
 }
 
-fn load_note(cx: &Cx, loads: Vec<Load>) -> LoadUpdate {
+fn load_update(cx: &Cx, loads: Vec<Load>) -> LoadUpdate {
     LoadUpdate {
         from: cx.cfg.node.vm.clone(),
         domain: cx.cfg.node.domain.clone(),
@@ -280,13 +284,14 @@
     }
 }
 
-/// A note for a gateway that has just started: it is to know at once who is up, and what to copy.
+/// Returns an update for a gateway that has just started, so that it learns at once that this one is up and which
+/// documents to fetch.
 pub(crate) fn hello(cx: &Cx) -> Msg {
-    Msg::Load(load_note(cx, largest_loads(own_loads(cx))))
+    Msg::Load(load_update(cx, largest_loads(own_loads(cx))))
 }
 
-/// Tells the loaders of the failure domain of each release as it becomes known. Those of others hear of it
-/// from gateways there.
+/// Sends each release to the loaders of the failure domain as it becomes known. Loaders of other failure domains
+/// receive it from gateways there.
 pub(crate) async fn send_releases(cx: Arc<Cx>, beacon: Beacon) {
     let mut newest = cx.releases.newest();
     while newest.changed().await.is_ok() {
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -1,11 +1,11 @@
-//! What other gateways have in flight at each upstream, and how they lately fared there.
+//! Requests that other gateways have in flight at each upstream, and their recent outcomes.
 //!
-//! Few gateways of a failure domain tell each other after each change; where there are many, the first of
-//! them passes changes on (see [`crate::load_updates`]), and all tell each other at intervals. To other domains, whose
-//! links are narrow and shared with requests and weights, one gateway tells the sum of its domain at
-//! intervals: the first by VM of those that were heard lately. No one is chosen for it; two that both take
-//! themselves for the first do no harm, since a newer sum replaces an older one. One gateway of the other
-//! domain takes it and passes it on there.
+//! In a small failure domain the gateways send each other an update after each change. In a large one the first of
+//! them relays changes (see [`crate::load_updates`]), and all send each other full updates at intervals. Links to
+//! other failure domains are narrow and shared with requests and weights, so one gateway sends the sum of its failure
+//! domain there at intervals: the first by VM of those that were recently seen. There is no election: two gateways
+//! that both consider themselves the first do no harm, since a newer sum replaces an older one. One gateway of the
+//! other failure domain receives the sum and relays it there.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -17,57 +17,57 @@
 
 use crate::load_sums::LoadSums;
 
-/// A note older than this says nothing any more; notes come several times as often.
-const NOTE_TIME: Duration = Duration::from_millis(1500);
+/// Time after which an update expires; updates arrive several times as often.
+const UPDATE_TTL: Duration = Duration::from_millis(1500);
 
-/// A gateway that was not heard for this long has no rank any more; notes come at least each 600 ms.
-const HEARD_TIME: Duration = Duration::from_millis(1000);
+/// Time without an update after which a gateway loses its rank; updates arrive at least every 600 ms.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Time between two looks for notes that are out of date.
+/// Time between two sweeps of expired updates.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time without changes passed on after which the gateway that does so counts as lost: it does so each
+/// Time without relayed changes after which the gateway that relays them counts as unreachable: it sends them every
 /// 40 ms while anything changes.
-const RELAY_SILENT: Duration = Duration::from_millis(300);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Most upstreams in one note, so that it fits a datagram.
+/// Maximum number of upstreams in an update, so that it fits a datagram.
 pub const MAX_LOADS: usize = 80;
 
-/// Requests of others at an upstream.
+/// Requests of other gateways at an upstream.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct PeerLoad {
-    /// Requests.
+    /// Requests in flight.
     pub requests: u32,
-    /// Prompt tokens not yet read.
+    /// Prompt tokens that aren't read yet.
     pub unread: u64,
-    /// How requests lately ended.
+    /// Recent outcomes of requests.
     pub outcomes: OutcomeCounts,
 }
 
-/// A note, and when its sender was last heard.
+/// An update, and when its sender was last seen.
 #[derive(Debug)]
-struct Heard {
-    note: LoadUpdate,
-    at: Instant,
+struct Received {
+    update: LoadUpdate,
+    last_seen: Instant,
 }
 
-/// Notes and their sums.
+/// Updates and their sums.
 #[derive(Debug, Default)]
 struct State {
-    /// Notes of gateways of the own failure domain.
-    near: Map<VmId, Heard>,
-    /// Where these take datagrams.
-    beacons: Map<VmId, SocketAddr>,
+    /// Updates of gateways of the own failure domain.
+    near: Map<VmId, Received>,
+    /// Datagram addresses of these gateways.
+    addresses: Map<VmId, SocketAddr>,
     near_sums: LoadSums,
     /// Sums of other failure domains.
-    far: Map<DomainName, Heard>,
+    far: Map<DomainName, Received>,
     far_sums: LoadSums,
-    swept: Option<Instant>,
-    /// When changes were last passed on by another gateway.
-    relayed: Option<Instant>,
+    last_sweep: Option<Instant>,
+    /// When another gateway last relayed changes.
+    last_relayed: Option<Instant>,
 }
 
-/// Notes of all other gateways.
+/// Loads of all other gateways.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     state: Mutex<State>,
@@ -78,126 +78,135 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a note of a gateway of the own failure domain, unless a newer one is known; `true` where
-    /// that gateway wasn't heard lately, or has started anew.
-    pub fn apply_update(&self, note: LoadUpdate, now: Instant) -> bool {
+    /// Applies an update of a gateway of the own failure domain, unless a newer one is known. Returns whether that
+    /// gateway is new: its last update has expired, or it has restarted.
+    pub fn apply_update(&self, update: LoadUpdate, now: Instant) -> bool {
         let mut state = self.state();
         state.sweep(now);
-        let known = state.near.get(&note.from);
-        let same = |h: &Heard| h.note.incarnation == note.incarnation && !h.is_old(now);
-        let appeared = !known.is_some_and(same);
-        if known.is_none_or(|known| known.is_before(&note, now)) {
-            state.near_sums.add(&note.loads);
-            let heard = Heard { note, at: now };
-            let before = state.near.insert(heard.note.from.clone(), heard);
-            if let Some(before) = before {
-                state.near_sums.remove(&before.note.loads);
+        let known = state.near.get(&update.from);
+        let is_same =
+            |r: &Received| r.update.incarnation == update.incarnation && !r.is_expired(now);
+        let is_new = !known.is_some_and(is_same);
+        if known.is_none_or(|known| known.is_superseded_by(&update, now)) {
+            state.near_sums.add(&update.loads);
+            let received = Received {
+                update,
+                last_seen: now,
+            };
+            let previous = state.near.insert(received.update.from.clone(), received);
+            if let Some(previous) = previous {
+                state.near_sums.remove(&previous.update.loads);
             }
         }
-        appeared
+        is_new
     }
 
-    /// Notes where a gateway of the own failure domain takes datagrams: it may not be listed here yet.
-    pub fn record_address(&self, vm: &VmId, beacon: SocketAddr) {
+    /// Records the datagram address of a gateway of the own failure domain, which may not be listed here yet.
+    pub fn record_address(&self, vm: &VmId, address: SocketAddr) {
         let mut state = self.state();
-        if state.beacons.get(vm) != Some(&beacon) {
-            state.beacons.insert(vm.clone(), beacon);
+        if state.addresses.get(vm) != Some(&address) {
+            state.addresses.insert(vm.clone(), address);
         }
     }
 
-    /// Gateways of the own failure domain that were heard lately, and where they take datagrams.
+    /// Returns the recently seen gateways of the own failure domain, and their datagram addresses.
     pub fn addresses(&self, now: Instant) -> Vec<(VmId, SocketAddr)> {
         let state = self.state();
-        let beacon = |note: &LoadUpdate| Some((note.from.clone(), *state.beacons.get(&note.from)?));
-        state.heard(now).filter_map(beacon).collect()
+        let address =
+            |update: &LoadUpdate| Some((update.from.clone(), *state.addresses.get(&update.from)?));
+        state.recent(now).filter_map(address).collect()
     }
 
-    /// Takes changes that a gateway of the own failure domain passes on of all of it. One of a gateway whose
-    /// whole note never came is passed over: that note comes soon.
+    /// Applies changes that a gateway relays for the whole own failure domain. A change of a gateway without a full
+    /// update is skipped: that update arrives soon.
     pub fn apply_changes(&self, own: &VmId, changes: Vec<LoadChange>, now: Instant) {
         let mut state = self.state();
         state.sweep(now);
-        state.relayed = Some(now);
+        state.last_relayed = Some(now);
         for change in changes.into_iter().filter(|c| c.from != *own) {
-            state.change(change, now);
+            state.apply_change(change, now);
         }
     }
 
-    /// Takes what has changed of the sum of another failure domain, unless newer changes of the same gateway are
-    /// known; of another gateway, or one that has started anew, it is the sum from now on.
-    pub fn apply_domain_update(&self, note: LoadUpdate, now: Instant) {
+    /// Applies changes of the sum of another failure domain, unless newer changes of the same gateway are known. An
+    /// update of another gateway, or of a restarted one, replaces the sum.
+    pub fn apply_domain_update(&self, update: LoadUpdate, now: Instant) {
         let mut state = self.state();
         state.sweep(now);
-        let known = state.far.get(&note.domain);
-        if known.is_none_or(|known| known.is_before(&note, now)) {
-            state.change_far(note, now);
+        let known = state.far.get(&update.domain);
+        if known.is_none_or(|known| known.is_superseded_by(&update, now)) {
+            state.apply_far_change(update, now);
         }
     }
 
-    /// What others have in flight at an upstream.
+    /// Returns the load of other gateways at an upstream.
     pub fn peer_load(&self, upstream: &SocketAddr) -> PeerLoad {
         self.peer_loads().get(upstream)
     }
 
-    /// What others have in flight at one upstream after the other, for a choice among many.
+    /// Locks the loads of other gateways, for a choice among many upstreams.
     pub fn peer_loads(&self) -> PeerLoads<'_> {
         PeerLoads(self.state())
     }
 
-    /// Rank of a gateway among those of its failure domain that were heard lately, by VM. The first,
-    /// 0, does for the others what one can do for all.
+    /// Returns the rank by VM of a gateway among the recently seen ones of its failure domain. The first, of rank 0,
+    /// does the work that one gateway can do for all.
     pub fn rank(&self, own: &VmId, now: Instant) -> usize {
-        self.state().before(own, now).count()
+        self.state().preceding(own, now).count()
     }
 
-    /// The first `n` gateways of the failure domain that were heard lately, by VM; the own one is left out,
-    /// but counts.
+    /// Returns the first `n` recently seen gateways of the failure domain by VM. The own one counts, but is left out.
     pub fn leaders(&self, own: &VmId, n: usize, now: Instant) -> Vec<VmId> {
         let state = self.state();
-        let mut vms: Vec<&VmId> = state.heard(now).map(|note| &note.from).collect();
+        let mut vms: Vec<&VmId> = state.recent(now).map(|update| &update.from).collect();
         vms.push(own);
         vms.sort();
-        let first = vms.into_iter().take(n).filter(|vm| *vm != own);
-        first.cloned().collect()
+        let leaders = vms.into_iter().take(n).filter(|vm| *vm != own);
+        leaders.cloned().collect()
     }
 
-    /// Whether another gateway has passed changes on just now.
+    /// Returns whether another gateway has recently relayed changes.
     pub fn is_relayed(&self, now: Instant) -> bool {
-        let relayed = self.state().relayed;
-        relayed.is_some_and(|at| now.saturating_duration_since(at) < RELAY_SILENT)
+        let last_relayed = self.state().last_relayed;
+        last_relayed.is_some_and(|at| now.saturating_duration_since(at) < RELAY_TIMEOUT)
     }
 
-    /// What each gateway of the failure domain that was heard lately has in flight.
+    /// Returns the loads of each recently seen gateway of the failure domain.
     pub fn near_loads(&self, now: Instant) -> Vec<LoadChange> {
         let state = self.state();
-        let near = state.heard(now).map(|note| LoadChange {
-            from: note.from.clone(),
-            incarnation: note.incarnation,
-            sequence: note.sequence,
-            loads: note.loads.clone(),
+        let near = state.recent(now).map(|update| LoadChange {
+            from: update.from.clone(),
+            incarnation: update.incarnation,
+            sequence: update.sequence,
+            loads: update.loads.clone(),
         });
         near.collect()
     }
 
-    /// Rank of a gateway among those that reach the store. While none does, this gateway included, among all: each
-    /// would be the first, and all would read the whole configuration at once when the store is back.
+    /// Returns the rank of a gateway among those that reach the store. While none does, this gateway included, it is
+    /// the rank among all: otherwise each would be the first, and all would read the complete configuration at once
+    /// when the store recovers.
     pub fn store_rank(&self, own: &VmId, reaches_store: bool, now: Instant) -> usize {
         let state = self.state();
-        let any = reaches_store || state.heard(now).any(|note| note.reaches_store);
-        let before = state.before(own, now);
-        before.filter(|note| !any || note.reaches_store).count()
+        let is_any_connected =
+            reaches_store || state.recent(now).any(|update| update.reaches_store);
+        let preceding = state.preceding(own, now);
+        preceding
+            .filter(|update| !is_any_connected || update.reaches_store)
+            .count()
     }
 
-    /// Newest revision of the configuration that a gateway tells, near or far.
+    /// Returns the newest revision of the configuration that another gateway has, near or far.
     pub fn newest_configuration(&self, now: Instant) -> Revision {
         let state = self.state();
         let all = state.near.values().chain(state.far.values());
-        let recent = all.filter(|h| !h.is_old(now));
-        recent.map(|h| h.note.configuration).max().unwrap_or(0)
+        let recent = all.filter(|r| !r.is_expired(now));
+        recent.map(|r| r.update.configuration).max().unwrap_or(0)
     }
 
-    /// Where to ask for what the store has now: the first gateway of the failure domain that reaches the
-    /// store, or one of another domain. `None` where that is this gateway itself, or nobody.
+    /// Returns the replica address of the gateway to query for the state of the store: the first gateway of the
+    /// failure domain that reaches the store, or one of another failure domain. `None` where that is this gateway
+    /// itself, or no gateway reaches the store.
     pub fn store_reader(
         &self,
         own: &VmId,
@@ -205,16 +214,16 @@
         now: Instant,
     ) -> Option<SocketAddr> {
         let state = self.state();
-        let near = state.heard(now).filter(|note| note.reaches_store);
+        let near = state.recent(now).filter(|update| update.reaches_store);
         let first = near.min_by(|a, b| a.from.cmp(&b.from));
         match first {
-            Some(note) if !reaches_store || note.from < *own => Some(note.replica_addr),
+            Some(update) if !reaches_store || update.from < *own => Some(update.replica_addr),
             None if !reaches_store => state.far_reader(now),
             _ => None,
         }
     }
 
-    /// The sum of the own failure domain, with what this gateway has in flight itself, in the order of the
+    /// Returns the sum of the own failure domain, including the `own` loads of this gateway, in the order of the
     /// upstreams' addresses.
     pub fn domain_loads(&self, own: &[Load]) -> Vec<Load> {
         let own_sums = {
@@ -242,12 +251,12 @@
     }
 }
 
-/// Sums of all notes, which stay as they are while this is held.
+/// Locked loads of all other gateways.
 #[derive(Debug)]
 pub struct PeerLoads<'a>(MutexGuard<'a, State>);
 
 impl PeerLoads<'_> {
-    /// What others have in flight at an upstream.
+    /// Returns the load of other gateways at an upstream.
     pub fn get(&self, upstream: &SocketAddr) -> PeerLoad {
         self.0.near_sums.get(upstream) + self.0.far_sums.get(upstream)
     }
@@ -268,18 +277,18 @@
     }
 }
 
-/// A gateway of each other failure domain, another one with each note, so that one which is lost or frozen
-/// costs a note now and then.
-pub fn receiver_per_domain(far: &[Vec<SocketAddr>], note: u64) -> Vec<SocketAddr> {
-    let relay = |domain: &Vec<SocketAddr>| {
+/// Returns a gateway of each other failure domain, chosen round-robin by `sequence`, so that an unreachable or frozen
+/// one only costs an update now and then.
+pub fn receiver_per_domain(far: &[Vec<SocketAddr>], sequence: u64) -> Vec<SocketAddr> {
+    let receiver = |domain: &Vec<SocketAddr>| {
         let n = u64::try_from(domain.len()).ok().filter(|n| *n > 0)?;
-        let i = usize::try_from(note % n).ok()?;
+        let i = usize::try_from(sequence % n).ok()?;
         domain.get(i).copied()
     };
-    far.iter().filter_map(relay).collect()
+    far.iter().filter_map(receiver).collect()
 }
 
-/// As many loads as fit a note, the largest. What is left out is counted.
+/// Returns the largest loads, as many as fit an update. A metric counts those that are left out.
 pub fn largest_loads(mut loads: Vec<Load>) -> Vec<Load> {
     if loads.len() > MAX_LOADS {
         let left_out = loads.len() - MAX_LOADS;
@@ -290,99 +299,106 @@
     loads
 }
 
-impl Heard {
-    /// Whether a note goes in place of this one: it is a later one of the same sender, or this one
-    /// is out of date. The time of day, from which incarnations come, may have been set back.
-    fn is_before(&self, note: &LoadUpdate, now: Instant) -> bool {
-        let later = (note.incarnation, note.sequence) > (self.note.incarnation, self.note.sequence);
-        later || note.from != self.note.from || self.is_old(now)
+impl Received {
+    /// Returns whether an update replaces this one: it is a later one of the same sender, or of another sender, or
+    /// this one has expired. The wall clock, from which incarnations are derived, may have been set back.
+    fn is_superseded_by(&self, update: &LoadUpdate, now: Instant) -> bool {
+        let is_later =
+            (update.incarnation, update.sequence) > (self.update.incarnation, self.update.sequence);
+        is_later || update.from != self.update.from || self.is_expired(now)
     }
 
-    /// Whether it was heard lately.
+    /// Returns whether the sender was recently seen.
     fn is_recent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < HEARD_TIME
+        now.saturating_duration_since(self.last_seen) < PEER_TIMEOUT
     }
 
-    fn is_old(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) >= NOTE_TIME
+    fn is_expired(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.last_seen) >= UPDATE_TTL
     }
 }
 
 impl State {
-    /// Notes of the gateways of the failure domain that were heard lately.
-    fn heard(&self, now: Instant) -> impl Iterator<Item = &LoadUpdate> {
-        let heard = move |h: &&Heard| h.is_recent(now);
-        self.near.values().filter(heard).map(|h| &h.note)
+    /// Iterates over the updates of the recently seen gateways of the failure domain.
+    fn recent(&self, now: Instant) -> impl Iterator<Item = &LoadUpdate> {
+        let is_recent = move |r: &&Received| r.is_recent(now);
+        self.near.values().filter(is_recent).map(|r| &r.update)
     }
 
-    /// Those that come before one by VM.
-    fn before(&self, own: &VmId, now: Instant) -> impl Iterator<Item = &LoadUpdate> {
-        self.heard(now).filter(move |note| note.from < *own)
+    /// Iterates over the updates of those that precede a gateway by VM.
+    fn preceding(&self, own: &VmId, now: Instant) -> impl Iterator<Item = &LoadUpdate> {
+        self.recent(now).filter(move |update| update.from < *own)
     }
 
-    /// Where a gateway of another failure domain that reaches the store passes copies on.
+    /// Returns the replica address of a gateway of another failure domain that reaches the store.
     fn far_reader(&self, now: Instant) -> Option<SocketAddr> {
-        let mut far = self.far.values().filter(|h| h.is_recent(now));
-        far.find(|h| h.note.reaches_store)
-            .map(|h| h.note.replica_addr)
+        let mut far = self.far.values().filter(|r| r.is_recent(now));
+        far.find(|r| r.update.reaches_store)
+            .map(|r| r.update.replica_addr)
     }
 
-    /// Puts changed loads in place of those of the gateway's note.
-    fn change(&mut self, change: LoadChange, now: Instant) {
-        let Some(heard) = self.near.get_mut(&change.from) else {
+    /// Replaces changed loads in a gateway's update.
+    fn apply_change(&mut self, change: LoadChange, now: Instant) {
+        let Some(received) = self.near.get_mut(&change.from) else {
             return;
         };
-        let note = &mut heard.note;
-        if note.incarnation != change.incarnation || note.sequence >= change.sequence {
+        let update = &mut received.update;
+        if update.incarnation != change.incarnation || update.sequence >= change.sequence {
             return;
         }
-        heard.at = now;
-        note.sequence = change.sequence;
-        replace(&mut note.loads, change.loads, &mut self.near_sums);
+        received.last_seen = now;
+        update.sequence = change.sequence;
+        replace_loads(&mut update.loads, change.loads, &mut self.near_sums);
     }
 
-    /// The same with the sum of another failure domain.
-    fn change_far(&mut self, note: LoadUpdate, now: Instant) {
-        let sender = |note: &LoadUpdate| (note.from.clone(), note.incarnation);
-        let known = self.far.remove(&note.domain);
-        let goes_on = |h: &Heard| sender(&h.note) == sender(&note) && !h.is_old(now);
+    /// Replaces changed loads in the sum of another failure domain, or the whole sum.
+    fn apply_far_change(&mut self, update: LoadUpdate, now: Instant) {
+        let sender = |update: &LoadUpdate| (update.from.clone(), update.incarnation);
+        let known = self.far.remove(&update.domain);
+        let is_continued =
+            |r: &Received| sender(&r.update) == sender(&update) && !r.is_expired(now);
         let mut loads = match known {
-            Some(known) if goes_on(&known) => known.note.loads,
-            Some(former) => {
-                self.far_sums.remove(&former.note.loads);
+            Some(known) if is_continued(&known) => known.update.loads,
+            Some(previous) => {
+                self.far_sums.remove(&previous.update.loads);
                 Vec::new()
             }
             None => Vec::new(),
         };
-        let mut note = note;
-        replace(
+        let mut update = update;
+        replace_loads(
             &mut loads,
-            std::mem::take(&mut note.loads),
+            std::mem::take(&mut update.loads),
             &mut self.far_sums,
         );
-        note.loads = loads;
-        self.far
-            .insert(note.domain.clone(), Heard { note, at: now });
+        update.loads = loads;
+        self.far.insert(
+            update.domain.clone(),
+            Received {
+                update,
+                last_seen: now,
+            },
+        );
     }
 
-    /// Forgets notes that are out of date.
+    /// Drops expired updates.
     fn sweep(&mut self, now: Instant) {
-        let swept = |at| now.saturating_duration_since(at) < SWEEP_INTERVAL;
-        if self.swept.is_some_and(swept) {
+        let is_recent = |at| now.saturating_duration_since(at) < SWEEP_INTERVAL;
+        if self.last_sweep.is_some_and(is_recent) {
             return;
         }
-        self.swept = Some(now);
+        self.last_sweep = Some(now);
         let sums = &mut self.near_sums;
-        self.near.retain(|_, heard| keep(heard, sums, now));
+        self.near.retain(|_, received| retain(received, sums, now));
         let near = &self.near;
-        self.beacons.retain(|vm, _| near.contains_key(vm));
+        self.addresses.retain(|vm, _| near.contains_key(vm));
         let sums = &mut self.far_sums;
-        self.far.retain(|_, heard| keep(heard, sums, now));
+        self.far.retain(|_, received| retain(received, sums, now));
     }
 }
 
-/// Puts changed loads in place of those known, here and in the sums.
-fn replace(known: &mut Vec<Load>, changed: Vec<Load>, sums: &mut LoadSums) {
+/// Replaces changed loads in `known` and in the sums.
+fn replace_loads(known: &mut Vec<Load>, changed: Vec<Load>, sums: &mut LoadSums) {
     for load in changed {
         sums.add(&[load]);
         match known.iter_mut().find(|l| l.upstream == load.upstream) {
@@ -392,11 +408,11 @@
     }
 }
 
-/// Whether a note isn't out of date; takes the loads of one that is off the sums.
-fn keep(heard: &Heard, sums: &mut LoadSums, now: Instant) -> bool {
-    let kept = !heard.is_old(now);
-    if !kept {
-        sums.remove(&heard.note.loads);
+/// Returns whether an update is still valid; subtracts the loads of an expired one from the sums.
+fn retain(received: &Received, sums: &mut LoadSums, now: Instant) -> bool {
+    let is_valid = !received.is_expired(now);
+    if !is_valid {
+        sums.remove(&received.update.loads);
     }
-    kept
+    is_valid
 }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,9 +1,9 @@
-//! Upstreams that are known, kept in step with the platform's list.
+//! Known upstreams, synchronized with the platform's list.
 //!
-//! An upstream that is missing from a list is gone, with one exception: after the store was away,
-//! entries that lapsed meanwhile come back within `return_time` of its return, so until then those
-//! that are missing are kept as they were. A process that was merely cut off from a store that
-//! others could reach gets no such time, since nothing lapsed.
+//! An upstream that is missing from a list is removed, with one exception: after an outage of the store, entries that
+//! lapsed meanwhile reappear within `return_time` of its recovery, so until then missing upstreams are retained
+//! unchanged. A gateway that was merely partitioned from a store that others could reach gets no such period, since
+//! no entry lapsed.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,41 +19,42 @@
 /// Log prefix of this part.
 const PART: &str = "membership";
 
-/// Time between two lists from which on the store was away for all: entries lapse after three
-/// heartbeats without a write, and lists come every second, from the store or another gateway.
-const STORE_AWAY: Duration = Duration::from_millis(2500);
+/// Time between two lists above which the store counts as unreachable for all processes: entries lapse after three
+/// heartbeats without a write, and lists arrive every second, from the store or another gateway.
+const STORE_OUTAGE: Duration = Duration::from_millis(2500);
 
-/// Upstreams of one list that are logged each by itself.
-const MOST_LOGGED: usize = 20;
+/// Maximum number of added upstreams in one list that are logged individually.
+const MAX_LOGGED: usize = 20;
 
-/// An upstream, and until when it is kept although it is missing from the list.
+/// An upstream, and until when it is retained although it is missing from the list.
 #[derive(Debug, Clone)]
 pub struct Entry {
     /// The upstream.
     pub upstream: Arc<Upstream>,
-    kept_until: Option<Instant>,
+    retained_until: Option<Instant>,
 }
 
 impl Entry {
-    /// Whether it is listed, or kept for now.
+    /// Returns whether it is listed, or still retained.
     pub fn is_current(&self, now: Instant) -> bool {
-        self.kept_until.is_none_or(|until| now < until)
+        self.retained_until.is_none_or(|until| now < until)
     }
 }
 
 #[derive(Debug, Default)]
 struct State {
-    known: bool,
+    is_loaded: bool,
     entries: Map<InstanceId, Entry>,
-    /// The same by service, and the upstreams by address; made anew with each list, so that a choice
-    /// walks over those of its service without copying them.
+    /// The entries by service; rebuilt with each list, so that a choice iterates over those of its service without
+    /// copying them.
     by_service: Map<ServiceName, Arc<Vec<Entry>>>,
+    /// Upstreams by address; rebuilt with each list.
     by_addr: Map<SocketAddr, Arc<Upstream>>,
-    /// Until when missing entries are kept.
-    keep_missing: Option<Instant>,
+    /// Until when missing entries are retained.
+    retain_missing_until: Option<Instant>,
 }
 
-/// Upstreams.
+/// Table of known upstreams.
 #[derive(Debug)]
 pub struct UpstreamTable {
     /// The own failure domain.
@@ -63,7 +64,7 @@
 }
 
 impl UpstreamTable {
-    /// An empty roster.
+    /// Creates an empty table.
     pub fn new(domain: DomainName, return_time: Duration) -> UpstreamTable {
         UpstreamTable {
             domain,
@@ -76,44 +77,44 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a list has ever come.
+    /// Returns whether a list was ever received.
     pub fn is_loaded(&self) -> bool {
-        self.state().known
+        self.state().is_loaded
     }
 
-    /// Takes a whole list; `gap` is how long the store had not confirmed the one before when it
-    /// confirmed this one. `true` where anything changed.
+    /// Applies a complete list. `gap` is the time for which the store hadn't confirmed the previous list when it
+    /// confirmed this one. Returns whether anything changed.
     pub fn apply_list(&self, all: Vec<ListedUpstream>, gap: Duration, now: Instant) -> bool {
-        let all = newest_at_each_address(all);
+        let all = newest_by_address(all);
         let mut state = self.state();
-        state.known = true;
-        if gap > STORE_AWAY {
-            state.keep_missing = Some(now + self.return_time);
+        state.is_loaded = true;
+        if gap > STORE_OUTAGE {
+            state.retain_missing_until = Some(now + self.return_time);
         }
-        let mut before = std::mem::take(&mut state.entries);
+        let mut previous = std::mem::take(&mut state.entries);
         let mut changed = false;
         let mut added = 0;
         for listed in all {
             let id = listed.instance.clone();
-            let upstream = match before.remove(&id) {
-                // Its life is known, so an entry that doesn't tell it is another writer's.
+            let upstream = match previous.remove(&id) {
+                // The start time is known, so an entry without one is of another writer.
                 Some(Entry { upstream, .. })
                     if upstream.start_time.is_some() && listed.start_time.is_none() =>
                 {
                     upstream
                 }
-                Some(Entry { upstream, .. }) if has_started_again(&upstream, &listed) => {
-                    info!(target: PART, "{PART}: event=started_again upstream={id} addr={} born={:?}", listed.addr, listed.start_time);
+                Some(Entry { upstream, .. }) if has_restarted(&upstream, &listed) => {
+                    info!(target: PART, "{PART}: event=restarted upstream={id} addr={} start_time={:?}", listed.addr, listed.start_time);
                     changed = true;
                     Arc::new(upstream.next_incarnation(listed))
                 }
                 Some(Entry { upstream, .. }) => {
-                    changed |= relist(&upstream, listed);
+                    changed |= update_listing(&upstream, listed);
                     upstream
                 }
                 None => {
                     added += 1;
-                    if added <= MOST_LOGGED {
+                    if added <= MAX_LOGGED {
                         info!(target: PART, "{PART}: event=listed upstream={id} service={} addr={} domain={}", listed.service, listed.addr, listed.domain);
                     }
                     changed = true;
@@ -122,20 +123,20 @@
             };
             let entry = Entry {
                 upstream,
-                kept_until: None,
+                retained_until: None,
             };
             state.entries.insert(id, entry);
         }
-        if added > MOST_LOGGED {
-            info!(target: PART, "{PART}: event=listed_more upstreams={}", added - MOST_LOGGED);
+        if added > MAX_LOGGED {
+            info!(target: PART, "{PART}: event=more_listed upstreams={}", added - MAX_LOGGED);
         }
-        let keep = state.keep_missing.filter(|until| now < *until);
-        for (id, mut missing) in before {
-            missing.kept_until = missing.kept_until.or(keep);
-            let kept = missing.kept_until.is_some_and(|until| now < until);
-            info!(target: PART, "{PART}: event=missing upstream={id} addr={} kept={kept}", missing.upstream.addr);
+        let retain_until = state.retain_missing_until.filter(|until| now < *until);
+        for (id, mut missing) in previous {
+            missing.retained_until = missing.retained_until.or(retain_until);
+            let is_retained = missing.retained_until.is_some_and(|until| now < until);
+            info!(target: PART, "{PART}: event=missing upstream={id} addr={} kept={is_retained}", missing.upstream.addr);
             changed = true;
-            if kept {
+            if is_retained {
                 state.entries.insert(id, missing);
             }
         }
@@ -143,27 +144,27 @@
         changed
     }
 
-    /// Takes a loader's note; `true` where it changes what an upstream can serve.
-    pub fn apply_status(&self, note: EngineStatus, now: Instant) -> bool {
-        let upstream = self.state().by_addr.get(&note.upstream).cloned();
-        upstream.is_some_and(|u| u.update_status(note, now))
+    /// Applies a loader's status. Returns whether it changes what an upstream can serve.
+    pub fn apply_status(&self, status: EngineStatus, now: Instant) -> bool {
+        let upstream = self.state().by_addr.get(&status.upstream).cloned();
+        upstream.is_some_and(|u| u.update_status(status, now))
     }
 
-    /// Upstreams of a service, with those that are kept or leave.
+    /// Returns the upstreams of a service, including retained and draining ones.
     pub fn entries(&self, service: &str) -> Arc<Vec<Entry>> {
         let state = self.state();
         state.by_service.get(service).cloned().unwrap_or_default()
     }
 
-    /// Upstreams of a service that take new work.
+    /// Returns the upstreams of a service that accept new requests.
     pub fn available(&self, service: &str, now: Instant) -> Vec<Arc<Upstream>> {
-        let usable = |e: &&Entry| e.is_current(now) && !e.upstream.is_draining();
+        let is_usable = |e: &&Entry| e.is_current(now) && !e.upstream.is_draining();
         let entries = self.entries(service);
-        let usable = entries.iter().filter(usable);
+        let usable = entries.iter().filter(is_usable);
         usable.map(|e| e.upstream.clone()).collect()
     }
 
-    /// Notes that the upstreams of a failure domain may have turned cold, by what was known at a revision.
+    /// Records that the upstreams of a failure domain may have become cold, as of a revision.
     pub fn mark_possibly_cold(&self, domain: &str, revision: Revision) {
         let state = self.state();
         let of_domain = state
@@ -173,7 +174,7 @@
         of_domain.for_each(|e| e.upstream.mark_possibly_cold(revision));
     }
 
-    /// Lives of all upstreams.
+    /// Returns the incarnations of all upstreams.
     pub fn incarnations(&self) -> Set<LifeId> {
         let state = self.state();
         state
@@ -183,7 +184,7 @@
             .collect()
     }
 
-    /// All upstreams.
+    /// Returns all upstreams.
     pub fn all(&self) -> Vec<Arc<Upstream>> {
         let state = self.state();
         state.entries.values().map(|e| e.upstream.clone()).collect()
@@ -205,9 +206,9 @@
     }
 }
 
-/// Leaves out entries whose address a newer one has: an upstream that started again, or another that
-/// was given the address, is listed beside the former one until that one's entry lapses.
-fn newest_at_each_address(all: Vec<ListedUpstream>) -> Vec<ListedUpstream> {
+/// Drops entries whose address has a newer one: an upstream that restarted, or another one that was assigned the
+/// address, is listed beside the stale entry until that one lapses.
+fn newest_by_address(all: Vec<ListedUpstream>) -> Vec<ListedUpstream> {
     let mut newest: Map<SocketAddr, Revision> = Map::default();
     for listed in &all {
         let revision = newest.entry(listed.addr).or_default();
@@ -217,14 +218,14 @@
     all.into_iter().filter(is_newest).collect()
 }
 
-/// Whether an entry is of another life than the one known under its id: it was born later, or stands at
-/// another address or for another service, of which none changes within a life.
-fn has_started_again(known: &Upstream, listed: &ListedUpstream) -> bool {
-    let elsewhere = known.addr != listed.addr || known.service != listed.service;
-    elsewhere || is_stale(known.start_time, listed.start_time)
+/// Returns whether an entry is of another incarnation than the known one of the same id: it has a later start time,
+/// or another address or service, neither of which changes within an incarnation.
+fn has_restarted(known: &Upstream, listed: &ListedUpstream) -> bool {
+    let has_moved = known.addr != listed.addr || known.service != listed.service;
+    has_moved || is_stale(known.start_time, listed.start_time)
 }
 
-fn relist(known: &Upstream, listed: ListedUpstream) -> bool {
+fn update_listing(known: &Upstream, listed: ListedUpstream) -> bool {
     let leaving = listed.draining;
     let differs = known.update_listing(listed);
     if differs {
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that upstreams advertise, and the updates that are still to be sent to other gateways.
+//! Rate limits that upstreams advertise, and pending updates of them to other gateways.
 
 use std::time::{Duration, Instant};
 
@@ -7,54 +7,53 @@
 use decide::rate_limit::RateLimit;
 use log::info;
 
-use crate::announcements::Announcement;
-use crate::announcements::Scope;
+use crate::announcements::{Announcement, Scope};
 use crate::request::Advertised;
 use crate::upstream::Upstream;
 
 /// Log prefix of this part.
 const PART: &str = "feedback";
 
-/// Time after which other gateways are sent an update although the limit is unchanged.
+/// Time after which an update is repeated although the limit is unchanged.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Time for which a lifted limit is remembered, so that an older update doesn't restore it.
+/// Time for which a lifted limit is retained, so that an older update doesn't restore it.
 const LIFTED_TIME: Duration = Duration::from_secs(60);
 
-/// Limit of one upstream, as far as is known.
+/// Rate limit of one upstream.
 #[derive(Debug, Clone, Copy)]
-struct Known {
-    /// Requests in 1,000 s, as they travel; `None` once it is lifted.
+struct KnownLimit {
+    /// Requests in 1,000 s, as in updates; `None` once the limit is lifted.
     per_1000_s: Option<u64>,
-    /// When the latest answer came that advertised or lifted it.
+    /// When the latest response arrived that advertised or lifted it.
     at: Instant,
-    /// When other gateways last got an update, of this gateway or another.
-    announced: Instant,
-    /// Update that this gateway is to send.
+    /// When an update was last sent or received.
+    last_update: Instant,
+    /// Schedule of the update that this gateway has to send.
     pending: Option<Announcement>,
 }
 
-/// Updates that are due now.
+/// Updates that are due.
 #[derive(Debug, Default)]
 pub struct DueRateLimits {
-    /// To gateways of the failure domain.
+    /// For gateways of the own failure domain.
     pub near: Vec<RateLimitUpdate>,
-    /// To other failure domains.
+    /// For other failure domains.
     pub far: Vec<RateLimitUpdate>,
-    /// When the next one is.
+    /// When the next update is due.
     pub next: Option<Instant>,
 }
 
-/// Limits by incarnation; upstreams that are left out have none.
+/// Limits by incarnation of the upstream; an upstream without an entry has none.
 #[derive(Debug, Default)]
 pub(crate) struct RateLimits {
-    known: Map<LifeId, Known>,
+    known: Map<LifeId, KnownLimit>,
 }
 
 impl RateLimits {
-    /// The limit of an upstream.
-    pub(crate) fn of(&self, life: LifeId) -> Option<RateLimit> {
-        let known = self.known.get(&life)?;
+    /// Returns the limit of an upstream.
+    pub(crate) fn get(&self, incarnation: LifeId) -> Option<RateLimit> {
+        let known = self.known.get(&incarnation)?;
         let per_1000_s = known.per_1000_s?;
         Some(RateLimit {
             rate: per_1000_s as f64 / 1000.0,
@@ -62,7 +61,7 @@
         })
     }
 
-    /// How many upstreams limit their rate.
+    /// Returns the number of upstreams that limit their rate.
     pub(crate) fn count(&self) -> usize {
         self.known
             .values()
@@ -70,7 +69,7 @@
             .count()
     }
 
-    /// Records the header of an answer to a request that was sent at `sent`. Returns whether an update is pending.
+    /// Records the header of a response to a request that was sent at `sent`. Returns whether an update is pending.
     pub(crate) fn observe(
         &mut self,
         upstream: &Upstream,
@@ -79,26 +78,26 @@
         now: Instant,
     ) -> bool {
         let known = self.known.get(&upstream.incarnation).copied();
-        let is_later = |k: Known| k.per_1000_s.is_some() && sent > k.at;
+        let is_later = |k: KnownLimit| k.per_1000_s.is_some() && sent > k.at;
         let per_1000_s = match header {
             // Casts of floats saturate.
             Advertised::Value(rate) => Some((rate * 1000.0) as u64),
-            // An answer that was in flight when the limit was advertised doesn't lift it.
+            // A response that was in flight when the limit was advertised doesn't lift it.
             Advertised::Absent if known.is_some_and(is_later) => None,
             Advertised::Absent | Advertised::Invalid(_) => return false,
         };
         let is_changed = known.is_none_or(|k| k.per_1000_s != per_1000_s);
         let is_due =
-            known.is_none_or(|k| now.saturating_duration_since(k.announced) >= REFRESH_INTERVAL);
+            known.is_none_or(|k| now.saturating_duration_since(k.last_update) >= REFRESH_INTERVAL);
         let pending = match known.and_then(|k| k.pending) {
             _ if is_changed => Some(Announcement::repeated(now, Scope::Everywhere)),
             None if is_due => Some(Announcement::once(now, Scope::Everywhere)),
             pending => pending,
         };
-        let known = Known {
+        let known = KnownLimit {
             per_1000_s,
             at: now,
-            announced: known.map_or(now, |k| k.announced),
+            last_update: known.map_or(now, |k| k.last_update),
             pending,
         };
         self.known.insert(upstream.incarnation, known);
@@ -108,8 +107,8 @@
         pending.is_some()
     }
 
-    /// Takes an update of another gateway, and relays it to `relay_to` where it is newer than what is known. Returns
-    /// whether the limit was lifted.
+    /// Applies an update of another gateway, and relays it to `relay_to` where it is newer than the known limit.
+    /// Returns whether the limit was lifted.
     pub(crate) fn receive(
         &mut self,
         update: RateLimitUpdate,
@@ -123,30 +122,30 @@
             return false;
         }
         let was_limited = known.is_some_and(|k| k.per_1000_s.is_some());
-        let known = Known {
+        let known = KnownLimit {
             per_1000_s: update.per_1000_s,
             at,
-            announced: now,
+            last_update: now,
             pending: relay_to.map(|scope| Announcement::once(now, scope)),
         };
         self.known.insert(update.incarnation, known);
         was_limited && update.per_1000_s.is_none()
     }
 
-    /// Takes the updates that are due.
+    /// Returns the updates that are due, and schedules their repetitions.
     pub(crate) fn due(&mut self, now: Instant) -> DueRateLimits {
         let mut due = DueRateLimits::default();
-        for (life, known) in &mut self.known {
+        for (incarnation, known) in &mut self.known {
             let Some(pending) = known.pending else {
                 continue;
             };
             if pending.due <= now {
-                let update = known.update(*life, now);
+                let update = known.update(*incarnation, now);
                 due.near.push(update);
                 if pending.scope == Scope::Everywhere {
                     due.far.push(update);
                 }
-                known.announced = now;
+                known.last_update = now;
                 known.pending = pending.next(now);
             }
             let next = known.pending.map(|p| p.due);
@@ -155,33 +154,34 @@
         due
     }
 
-    /// All limits that hold, for a gateway that has just started.
+    /// Returns the limits in force, for a gateway that has just started.
     pub(crate) fn updates(&self, now: Instant) -> Vec<RateLimitUpdate> {
         let limits = self
             .known
             .iter()
             .filter(|(_, known)| known.per_1000_s.is_some());
         limits
-            .map(|(life, known)| known.update(*life, now))
+            .map(|(incarnation, known)| known.update(*incarnation, now))
             .collect()
     }
 
-    /// Drops limits that were lifted a while ago, and after `unlisted_time` those of upstreams that aren't listed.
-    pub(crate) fn forget(&mut self, listed: &Set<LifeId>, unlisted_time: Duration, now: Instant) {
-        self.known.retain(|life, known| {
+    /// Drops limits that were lifted [`LIFTED_TIME`] ago, and after `unlisted_time` those of upstreams that aren't
+    /// listed.
+    pub(crate) fn purge(&mut self, listed: &Set<LifeId>, unlisted_time: Duration, now: Instant) {
+        self.known.retain(|incarnation, known| {
             let age = now.saturating_duration_since(known.at);
             match known.per_1000_s {
                 None => age < LIFTED_TIME,
-                Some(_) => listed.contains(life) || age < unlisted_time,
+                Some(_) => listed.contains(incarnation) || age < unlisted_time,
             }
         });
     }
 }
 
-impl Known {
-    fn update(&self, life: LifeId, now: Instant) -> RateLimitUpdate {
+impl KnownLimit {
+    fn update(&self, incarnation: LifeId, now: Instant) -> RateLimitUpdate {
         RateLimitUpdate {
-            incarnation: life,
+            incarnation,
             per_1000_s: self.per_1000_s,
             ago: now.saturating_duration_since(self.at),
         }
--- a/crates/gateway/src/suspect_updates.rs
+++ b/crates/gateway/src/suspect_updates.rs
@@ -1,10 +1,10 @@
-//! Tells other gateways of requests under which upstreams ended.
+//! Sends updates of suspects to other gateways.
 //!
-//! Each crash costs an upstream for seconds, so news of it goes at once to all gateways of the failure domain
-//! and to two of each other one, which pass on what is news to them; it's told four times within 1.3 s, since
-//! datagrams get lost. Who was cut off, suspended or has just started learns from the first gateway of a
-//! failure domain, which tells what is known again and again while there is anything. While no upstream ends
-//! nothing is sent.
+//! Each crash makes an upstream unavailable for seconds, so an update is sent at once to all gateways of the failure
+//! domain and to two of each other failure domain, which relay what is new to them. It is sent four times within
+//! 1.3 s, since datagrams get lost. A gateway that was partitioned, suspended or has just started catches up from the
+//! leader of a failure domain, which repeats the most severe suspects periodically while there are any. While no
+//! upstream exits, nothing is sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,63 +16,63 @@
 use crate::load_updates::near_gateways;
 use crate::loads::receiver_per_domain;
 
-/// Time in which news is gathered: what ran at one upstream breaks off within it.
-const GATHER_TIME: Duration = Duration::from_millis(3);
+/// Time for which updates are batched: all requests in flight at an upstream that exits break off within it.
+const BATCH_TIME: Duration = Duration::from_millis(3);
 
-/// Time between two times at which the first gateway of a failure domain tells all it knows.
-const RENEW_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two updates in which the leader of a failure domain repeats its suspects.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Gateways of each other failure domain that are told.
+/// Number of receivers in each other failure domain.
 const FAR_RECEIVERS: u64 = 2;
 
-/// Cases told to another failure domain at once, which fit a datagram. Where a seventh of 12,000 engines ends
-/// that bounds them, by reckoning, to 0.8 MB/s between two regions.
-const MOST_FAR: usize = 15;
+/// Maximum number of suspects in an update to another failure domain; they fit a datagram. Where a seventh of 12,000
+/// engines exits, this bounds the updates between two regions to a calculated 0.8 MB/s.
+const MAX_FAR: usize = 15;
 
-/// Cases told again, and to gateways that start, two datagrams.
-const MOST_RENEWED: usize = 2 * MOST_FAR;
+/// Maximum number of suspects that are repeated, or sent to a gateway that has just started: two datagrams.
+const MAX_REPEATED: usize = 2 * MAX_FAR;
 
-/// Tells news, and now and then what is known.
+/// Sends pending updates, and repeats the suspects periodically.
 pub(crate) async fn send_suspects(cx: Arc<Cx>, beacon: Beacon) {
-    let mut number = 0;
-    let mut renewed = clock::now();
+    let mut sequence = 0;
+    let mut last_repeat = clock::now();
     let mut next = None;
     loop {
-        wait(&cx, next, renewed + RENEW_INTERVAL).await;
+        wait_until_due(&cx, next, last_repeat + REPEAT_INTERVAL).await;
         let now = clock::now();
-        let (due, more) = cx.suspects.due(now, MOST_FAR);
-        next = more.map(|at| at.max(now + GATHER_TIME));
-        number += 1;
-        send(&cx, &beacon, due.near, due.far, SUSPECTS, number);
-        if now >= renewed + RENEW_INTERVAL {
-            renewed = now;
+        let (due, next_due) = cx.suspects.due(now, MAX_FAR);
+        next = next_due.map(|at| at.max(now + BATCH_TIME));
+        sequence += 1;
+        send(&cx, &beacon, due.near, due.far, SUSPECTS, sequence);
+        if now >= last_repeat + REPEAT_INTERVAL {
+            last_repeat = now;
             if cx.loads.rank(&cx.cfg.node.vm, now) == 0 {
-                let all = cx.suspects.most_severe(MOST_RENEWED);
-                send(&cx, &beacon, all.clone(), all, SUSPECTS, number);
+                let suspects = cx.suspects.most_severe(MAX_REPEATED);
+                send(&cx, &beacon, suspects.clone(), suspects, SUSPECTS, sequence);
             }
         }
     }
 }
 
-/// Waits until there is something to tell. While nothing is known no timer runs.
-async fn wait(cx: &Cx, next: Option<Instant>, renewal: Instant) {
+/// Waits until an update may be due. Without suspects no timer runs.
+async fn wait_until_due(cx: &Cx, next: Option<Instant>, repeat_at: Instant) {
     let until = match (next, cx.suspects.is_empty()) {
-        (Some(next), _) => next.min(renewal),
-        (None, false) => renewal,
-        (None, true) => return gathered(cx).await,
+        (Some(next), _) => next.min(repeat_at),
+        (None, false) => repeat_at,
+        (None, true) => return wait_for_batch(cx).await,
     };
     tokio::select! {
-        () = gathered(cx) => {}
+        () = wait_for_batch(cx) => {}
         () = clock::sleep_until(until) => {}
     }
 }
 
-async fn gathered(cx: &Cx) {
+async fn wait_for_batch(cx: &Cx) {
     cx.suspects.pending.changed().await;
-    tokio::time::sleep(GATHER_TIME).await;
+    tokio::time::sleep(BATCH_TIME).await;
 }
 
-/// Messages that hold items for gateways of the own failure domain, and for those of others.
+/// Kinds of messages that carry updates to gateways of the own failure domain and of others.
 pub(crate) struct MessageKinds<T> {
     pub(crate) near: fn(Vec<T>) -> Msg,
     pub(crate) far: fn(Vec<T>) -> Msg,
@@ -83,15 +83,15 @@
     far: Msg::FarSuspects,
 };
 
-/// Sends items to all gateways of the failure domain and some of them to a few of each other one, of which `number`
-/// selects others each time. What goes `far` goes `near` too.
+/// Sends `near` to all gateways of the failure domain, and its subset `far` to a few gateways of each other failure
+/// domain, which rotate with `sequence`.
 pub(crate) fn send<T: Clone>(
     cx: &Cx,
     beacon: &Beacon,
     near: Vec<T>,
     far: Vec<T>,
     messages: MessageKinds<T>,
-    number: u64,
+    sequence: u64,
 ) {
     if near.is_empty() {
         return;
@@ -100,16 +100,16 @@
     for msg in batch_messages(near, messages.near) {
         beacon.send(&msg, to.iter().copied());
     }
-    let to = far_receivers(cx, number);
+    let to = far_receivers(cx, sequence);
     for msg in batch_messages(far, messages.far) {
         beacon.send(&msg, to.iter().copied());
     }
 }
 
-/// Gateways of other failure domains that are told, others with each `number`.
-fn far_receivers(cx: &Cx, number: u64) -> Vec<SocketAddr> {
+/// Returns the receivers in other failure domains, which rotate with `sequence`.
+fn far_receivers(cx: &Cx, sequence: u64) -> Vec<SocketAddr> {
     let domains = cx.peers.borrow().far_gateways.clone();
-    let first = number * FAR_RECEIVERS;
+    let first = sequence * FAR_RECEIVERS;
     let mut to: Vec<SocketAddr> = (first..first + FAR_RECEIVERS)
         .flat_map(|n| receiver_per_domain(&domains, n))
         .collect();
@@ -118,9 +118,9 @@
     to
 }
 
-/// Tells a gateway that has just started what is known.
-pub(crate) fn sync_suspects(cx: &Cx, beacon: &Beacon, starter: SocketAddr) {
-    for msg in batch_messages(cx.suspects.most_severe(MOST_RENEWED), Msg::Suspects) {
-        beacon.send(&msg, [starter]);
+/// Sends the most severe suspects to a gateway that has just started.
+pub(crate) fn sync_suspects(cx: &Cx, beacon: &Beacon, new_gateway: SocketAddr) {
+    for msg in batch_messages(cx.suspects.most_severe(MAX_REPEATED), Msg::Suspects) {
+        beacon.send(&msg, [new_gateway]);
     }
 }
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -1,8 +1,8 @@
-//! Requests under which upstreams ended, as this gateway knows them.
+//! Suspects: requests during which upstreams exited, as known to this gateway.
 //!
-//! [`decide::quarantine`] judges them. Whatever sends a request on asks here first, before it waits for a slot
-//! and again as it has one: the first try, one after an answer was lost, and a stream that goes on elsewhere.
-//! [`crate::suspect_updates`] tells other gateways.
+//! [`decide::quarantine`] decides about them. Each attempt is checked here before it waits for a slot and again when
+//! it has one: a first attempt, a retry after a lost response, and a stream that is resumed at another upstream.
+//! [`crate::suspect_updates`] sends updates to other gateways.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,11 +16,9 @@
 use tokio::sync::watch;
 
 use crate::Cx;
-use crate::announcements::DueSuspects;
-use crate::announcements::PendingUpdates;
-use crate::announcements::Scope;
-use crate::announcements::case_from_update;
-use crate::announcements::suspect_update;
+use crate::announcements::{
+    DueSuspects, PendingUpdates, Scope, suspect_from_update, suspect_update,
+};
 use crate::refusal::Refusal;
 use crate::request::RoutedRequest;
 use crate::unconfirmed::{UnconfirmedExit, UnconfirmedExits};
@@ -29,48 +27,48 @@
 /// Log prefix of this part.
 const PART: &str = "suspects";
 
-/// When to come back with a request that is being tried elsewhere: most streams have ended by then.
-const TRIED_RETRY: Duration = Duration::from_millis(1500);
+/// Retry delay for a request that is in trial elsewhere: most streams have completed by then.
+const IN_TRIAL_RETRY: Duration = Duration::from_millis(1500);
 
-/// How long such a request waits: a caller whose answer broke off may be back before the news of it. Anyone else
-/// who sends the same meanwhile would wait for seconds, and is refused.
-const TRIED_WAIT: Duration = Duration::from_millis(60);
+/// Maximum wait of a request that is in trial elsewhere: a caller whose response broke off may retry before the
+/// update about that arrives. Another caller of the same request would wait for seconds, and is refused.
+const MAX_TRIAL_WAIT: Duration = Duration::from_millis(60);
 
-/// Time after its start in which a gateway has learned what the store has of such requests, if it can. Until
-/// then its requests wait for that, as they do for a configuration.
-const LEARN_TIME: Duration = Duration::from_secs(1);
+/// Time after its start within which a gateway has loaded the stored suspects, if it can. Until then requests wait
+/// for them, as they do for a configuration.
+const STORE_LOAD_TIME: Duration = Duration::from_secs(1);
 
-/// Time between two looks whether it's over.
-const RECHECK: Duration = Duration::from_millis(5);
+/// Time between two checks whether the trial is over.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longest time by which trials of the same request at several gateways are parted, so that the others hear
-/// of the first.
-const APART_TIME: Duration = Duration::from_millis(40);
+/// Maximum random delay that staggers trials of the same request at several gateways, so that the others receive the
+/// update of the first.
+const MAX_STAGGER: Duration = Duration::from_millis(40);
 
-/// Age of an end up to which other requests have yet to meet the upstream: its entry lapses within 4 s, and it
-/// may be back after 2 s.
-const JUST_ENDED: Duration = Duration::from_secs(1);
+/// Age up to which an exit may still affect other requests: the entry of the upstream lapses within 4 s, and the
+/// upstream may have recovered after 2 s.
+const RECENT_EXIT: Duration = Duration::from_secs(1);
 
-/// Time between the announcement of a trial and the trial: news takes 4 ms within a failure domain and up to
-/// twice that and two ways between regions elsewhere.
+/// Time between the announcement of a trial and its start: an update takes 4 ms within a failure domain, and up to
+/// twice that plus two one-way trips between regions elsewhere.
 const ANNOUNCE_TIME: Duration = Duration::from_millis(20);
 
-/// All that is known of them.
+/// Suspects known to this gateway.
 #[derive(Debug)]
 pub struct Suspects {
     quarantine: Mutex<Quarantine>,
     unconfirmed: UnconfirmedExits,
-    /// What other gateways are to be told.
+    /// Pending updates to other gateways.
     pub(crate) pending: PendingUpdates,
-    /// Told when a request is held back, or no more.
+    /// Notifies of changes of the quarantined requests.
     changed: watch::Sender<()>,
-    /// Requests that this gateway found are to be held back, and that aren't stored yet.
-    own: Mutex<Set<Fingerprint>>,
-    /// Whether what the store has of them is known.
-    known: watch::Sender<bool>,
+    /// Requests that this gateway has quarantined and that aren't stored yet.
+    unstored: Mutex<Set<Fingerprint>>,
+    /// Whether the stored suspects were loaded.
+    store_loaded: watch::Sender<bool>,
 }
 
-/// The run of a suspect; over when dropped.
+/// Trial of a suspect, which ends when this is dropped.
 #[derive(Debug)]
 pub struct TrialGuard {
     suspects: Arc<Suspects>,
@@ -82,24 +80,24 @@
 impl Drop for TrialGuard {
     fn drop(&mut self) {
         let mut quarantine = self.suspects.quarantine();
-        let was_under_way = quarantine.end_trial(&self.request, self.number, self.upstream);
+        let was_current = quarantine.end_trial(&self.request, self.number, self.upstream);
         drop(quarantine);
-        if was_under_way {
+        if was_current {
             self.suspects.pending.add(self.request, Scope::Everywhere);
         }
     }
 }
 
 impl Suspects {
-    /// Nothing known yet; requests are held back for `hold_time` and longer.
+    /// Creates an empty collection; requests are quarantined for `hold_time` and longer.
     pub(crate) fn new(hold_time: Duration) -> Suspects {
         Suspects {
             quarantine: Mutex::new(Quarantine::new(hold_time)),
             unconfirmed: UnconfirmedExits::default(),
             pending: PendingUpdates::default(),
             changed: watch::Sender::new(()),
-            own: Mutex::default(),
-            known: watch::Sender::new(false),
+            unstored: Mutex::default(),
+            store_loaded: watch::Sender::new(false),
         }
     }
 
@@ -109,36 +107,36 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn verdict(&self, job: &RoutedRequest) -> Decision {
+    fn decision(&self, req: &RoutedRequest) -> Decision {
         let quarantine = self.quarantine();
         match quarantine.is_empty() {
-            // Usually so; neither fingerprint nor time is asked for.
+            // The usual case, which needs neither the fingerprint nor the time.
             true => Decision::Allow,
-            false => quarantine.decide(&job.fingerprint(), clock::now()),
+            false => quarantine.decide(&req.fingerprint(), clock::now()),
         }
     }
 
-    /// Upstreams where suspects are being tried.
+    /// Returns the upstreams where suspects are in trial.
     pub(crate) fn active_trials(&self, now: Instant) -> Vec<SocketAddr> {
         self.quarantine().trial_upstreams(now)
     }
 
-    /// Begins a trial where the request is a suspect; refused where it may not be tried now. It's announced
-    /// first: of several that begin in one moment one goes on.
+    /// Begins a trial where the request is a suspect; refuses it where it may not be tried now. The trial is
+    /// announced before it starts: of several that begin at the same time only one proceeds.
     pub(crate) async fn begin_trial(
         self: &Arc<Suspects>,
-        job: &RoutedRequest,
+        req: &RoutedRequest,
         upstream: SocketAddr,
     ) -> Result<Option<TrialGuard>, Refusal> {
-        if self.verdict(job) == Decision::Allow {
+        if self.decision(req) == Decision::Allow {
             return Ok(None);
         }
-        let request = job.fingerprint();
-        let begun = self
+        let request = req.fingerprint();
+        let trial = self
             .quarantine()
             .begin_trial(&request, upstream, clock::now());
-        let Some(number) = begun else {
-            return Err(refusal(self.verdict(job)));
+        let Some(number) = trial else {
+            return Err(refusal(self.decision(req)));
         };
         let trial = TrialGuard {
             suspects: self.clone(),
@@ -148,73 +146,79 @@
         };
         self.pending.add(request, Scope::Everywhere);
         tokio::time::sleep(ANNOUNCE_TIME).await;
-        let goes_on = self
+        let is_current = self
             .quarantine()
             .is_current_trial(&request, number, upstream);
-        match goes_on {
+        match is_current {
             true => Ok(Some(trial)),
-            false => Err(refusal(self.verdict(job))),
+            false => Err(refusal(self.decision(req))),
         }
     }
 
-    /// Notes that an answer was lost; whether its upstream ended may show later.
-    pub(crate) fn record_lost_response(&self, job: &RoutedRequest, upstream: &Upstream) {
+    /// Records that a response was lost; whether its upstream exited may become known later.
+    pub(crate) fn record_lost_response(&self, req: &RoutedRequest, upstream: &Upstream) {
         self.unconfirmed.add(UnconfirmedExit {
-            request: job.fingerprint(),
+            request: req.fingerprint(),
             upstream: upstream.addr,
-            exit: end_of(upstream),
+            exit: exit_of(upstream),
         });
     }
 
-    /// Takes which upstreams live: those that aren't among them have ended, also under requests whose answer
-    /// was lost before.
-    pub fn confirm_exits(&self, lives: &Set<LifeId>) {
-        for ended in self.unconfirmed.take_confirmed(lives, clock::now()) {
-            self.note_end(ended.request, ended.upstream, ended.exit, "-", "-");
+    /// Records the exits of upstreams that aren't among the listed incarnations, for requests whose responses were
+    /// lost there.
+    pub fn confirm_exits(&self, listed: &Set<LifeId>) {
+        for unconfirmed in self.unconfirmed.take_confirmed(listed, clock::now()) {
+            self.add_exit(
+                unconfirmed.request,
+                unconfirmed.upstream,
+                unconfirmed.exit,
+                "-",
+                "-",
+            );
         }
     }
 
-    /// Notes that an upstream ended while it had a request.
-    pub(crate) fn record_exit(&self, job: &RoutedRequest, upstream: &Upstream) {
-        let workspace = job.workspace.as_ref().map_or("-", |t| &t.workspace);
-        let (request, end) = (job.fingerprint(), end_of(upstream));
-        self.note_end(request, upstream.addr, end, &job.route.name, workspace);
+    /// Records that an upstream exited while it ran a request.
+    pub(crate) fn record_exit(&self, req: &RoutedRequest, upstream: &Upstream) {
+        let workspace = req.workspace.as_ref().map_or("-", |t| &t.workspace);
+        let (request, exit) = (req.fingerprint(), exit_of(upstream));
+        self.add_exit(request, upstream.addr, exit, &req.route.name, workspace);
     }
 
-    fn note_end(
+    fn add_exit(
         &self,
         request: Fingerprint,
         upstream: SocketAddr,
-        end: UpstreamExit,
+        exit: UpstreamExit,
         route: &str,
         workspace: &str,
     ) {
         let now = clock::now();
         let mut quarantine = self.quarantine();
-        let is_news = quarantine.record_exit(request, upstream, end);
-        let is_held = quarantine.is_quarantined(&request, now);
-        let ends = quarantine.suspect(&request).map_or(0, |c| c.exits.len());
+        let is_new = quarantine.record_exit(request, upstream, exit);
+        let is_quarantined = quarantine.is_quarantined(&request, now);
+        let exits = quarantine.suspect(&request).map_or(0, |s| s.exits.len());
         drop(quarantine);
-        if is_news {
+        if is_new {
             self.pending.add(request, Scope::Everywhere);
         }
-        if is_held && is_news {
-            info!(target: PART, "{PART}: event=held request={request} ends={ends} route={route} workspace={workspace}");
+        if is_quarantined && is_new {
+            info!(target: PART, "{PART}: event=held request={request} ends={exits} route={route} workspace={workspace}");
             metrics::counter!("driftnotch_held_total").increment(1);
-            self.own().insert(request);
+            self.unstored().insert(request);
             self.changed.send_replace(());
         }
     }
 
-    /// Notes that a request ran to its end.
-    pub(crate) fn record_completion(&self, job: &RoutedRequest) {
+    /// Records that a request ran to completion.
+    pub(crate) fn record_completion(&self, req: &RoutedRequest) {
         let now = clock::now();
-        self.unconfirmed.forget(|| job.fingerprint());
+        self.unconfirmed.forget(|| req.fingerprint());
         let mut quarantine = self.quarantine();
         if quarantine.is_empty() {
             return;
         }
-        let request = job.fingerprint();
+        let request = req.fingerprint();
         if quarantine.record_completion(&request, now) {
             drop(quarantine);
             self.pending.add(request, Scope::Everywhere);
@@ -222,160 +226,163 @@
         }
     }
 
-    /// Clears a request that is held back, as an operator wants.
+    /// Clears a quarantined request, as requested by an operator.
     pub fn clear(&self, request: &Fingerprint) {
         let now = clock::now();
         let mut quarantine = self.quarantine();
-        let cleared =
+        let is_cleared =
             quarantine.is_quarantined(request, now) && quarantine.record_completion(request, now);
         drop(quarantine);
-        if cleared {
+        if is_cleared {
             info!(target: PART, "{PART}: event=cleared request={request}");
             self.pending.add(*request, Scope::Everywhere);
             self.changed.send_replace(());
         }
     }
 
-    /// Takes what another gateway tells; `scope` says whom what is news is passed on to, if anyone. Gives the
-    /// lives of upstreams that ended just now, as far as that is news.
-    pub fn receive(&self, notes: Vec<SuspectUpdate>, scope: Option<Scope>) -> Vec<LifeId> {
+    /// Applies updates of another gateway, and relays those that are new to `relay_to`. Returns the incarnations of
+    /// upstreams that exited within [`RECENT_EXIT`], where that is new.
+    pub fn receive(&self, updates: Vec<SuspectUpdate>, relay_to: Option<Scope>) -> Vec<LifeId> {
         let now = clock::now();
-        let mut ended = Vec::new();
-        for note in notes {
-            let request = note.request;
-            let lately = note.exits.iter().filter(|(_, ago)| *ago < JUST_ENDED);
-            let lately: Vec<LifeId> = lately.map(|(life, _)| *life).collect();
+        let mut exited = Vec::new();
+        for update in updates {
+            let request = update.request;
+            let recent = update.exits.iter().filter(|(_, ago)| *ago < RECENT_EXIT);
+            let recent: Vec<LifeId> = recent.map(|(incarnation, _)| *incarnation).collect();
             let mut quarantine = self.quarantine();
-            let was_held = quarantine.is_quarantined(&request, now);
-            let is_news = quarantine.merge(request, case_from_update(note, now));
-            let is_held = quarantine.is_quarantined(&request, now);
+            let was_quarantined = quarantine.is_quarantined(&request, now);
+            let is_new = quarantine.merge(request, suspect_from_update(update, now));
+            let is_quarantined = quarantine.is_quarantined(&request, now);
             drop(quarantine);
-            if is_news {
-                ended.extend(lately);
+            if is_new {
+                exited.extend(recent);
             }
-            if let Some(scope) = scope.filter(|_| is_news) {
+            if let Some(scope) = relay_to.filter(|_| is_new) {
                 self.pending.add(request, scope);
             }
-            if was_held != is_held {
-                info!(target: PART, "{PART}: event=heard request={request} held={is_held}");
+            if was_quarantined != is_quarantined {
+                info!(target: PART, "{PART}: event=heard request={request} held={is_quarantined}");
                 self.changed.send_replace(());
             }
         }
-        ended
+        exited
     }
 
-    /// What is to be told now, at most so many cases to other failure domains; and when more is.
-    pub(crate) fn due(&self, now: Instant, most_far: usize) -> (DueSuspects, Option<Instant>) {
+    /// Returns the updates that are due, with at most `max_far` for other failure domains, and when the next ones are
+    /// due.
+    pub(crate) fn due(&self, now: Instant, max_far: usize) -> (DueSuspects, Option<Instant>) {
         let mut quarantine = self.quarantine();
         quarantine.expire(now);
-        self.pending.due(&quarantine, now, most_far)
+        self.pending.due(&quarantine, now, max_far)
     }
 
-    /// All that something is held against, the gravest first, at most so many.
-    pub(crate) fn most_severe(&self, most: usize) -> Vec<SuspectUpdate> {
+    /// Returns up to `max` suspects, the most severe first.
+    pub(crate) fn most_severe(&self, max: usize) -> Vec<SuspectUpdate> {
         let now = clock::now();
         let quarantine = self.quarantine();
-        let gravest = quarantine.most_severe().into_iter().take(most);
-        gravest
-            .map(|(r, case)| suspect_update(r, case, now))
+        let suspects = quarantine.most_severe().into_iter().take(max);
+        suspects
+            .map(|(r, suspect)| suspect_update(r, suspect, now))
             .collect()
     }
 
-    /// Told when a request is held back, or no more.
+    /// Subscribes to changes of the quarantined requests.
     pub fn changes(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// Requests that are held back now.
+    /// Returns the quarantined requests.
     pub fn quarantined(&self) -> Vec<SuspectUpdate> {
         let now = clock::now();
         let quarantine = self.quarantine();
-        let gravest = quarantine.most_severe().into_iter();
-        let held = gravest.filter(|(r, _)| quarantine.is_quarantined(r, now));
-        held.map(|(r, case)| suspect_update(r, case, now)).collect()
+        let suspects = quarantine.most_severe().into_iter();
+        let quarantined = suspects.filter(|(r, _)| quarantine.is_quarantined(r, now));
+        quarantined
+            .map(|(r, suspect)| suspect_update(r, suspect, now))
+            .collect()
     }
 
-    fn own(&self) -> MutexGuard<'_, Set<Fingerprint>> {
-        self.own.lock().unwrap_or_else(PoisonError::into_inner)
+    fn unstored(&self) -> MutexGuard<'_, Set<Fingerprint>> {
+        self.unstored.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether this gateway found that a request is to be held back, and hasn't stored it.
+    /// Returns whether this gateway has quarantined a request and hasn't stored it yet.
     pub fn is_store_pending(&self, request: &Fingerprint) -> bool {
-        self.own().contains(request)
+        self.unstored().contains(request)
     }
 
-    /// Notes that such a request is stored.
+    /// Records that a quarantined request was stored.
     pub fn mark_stored(&self, request: &Fingerprint) {
-        self.own().remove(request);
+        self.unstored().remove(request);
     }
 
-    /// Notes that what the store has of such requests is known.
+    /// Records that the stored suspects were loaded.
     pub fn mark_loaded(&self) {
-        self.known.send_replace(true);
+        self.store_loaded.send_replace(true);
     }
 
-    /// Waits until that is known, while the gateway has just started.
-    async fn wait_known(&self, cx: &Cx) {
-        if *self.known.borrow() {
+    /// Waits until the stored suspects are loaded, while the gateway has just started.
+    async fn wait_until_loaded(&self, cx: &Cx) {
+        if *self.store_loaded.borrow() {
             return;
         }
-        let known_by = cx.started + LEARN_TIME.max(cx.cfg.start_wait);
-        let until = known_by.min(clock::now() + cx.cfg.start_wait);
-        let mut known = self.known.subscribe();
-        let learned = known.wait_for(|known| *known);
-        // What isn't known by then is learned from what happens.
-        let _ = clock::timeout_at(until, learned).await;
+        let load_by = cx.started + STORE_LOAD_TIME.max(cx.cfg.start_wait);
+        let until = load_by.min(clock::now() + cx.cfg.start_wait);
+        let mut store_loaded = self.store_loaded.subscribe();
+        let loaded = store_loaded.wait_for(|loaded| *loaded);
+        // After the timeout the gateway learns of suspects by exits and updates.
+        let _ = clock::timeout_at(until, loaded).await;
     }
 
-    /// How many requests something is held against, and how many of them are held back.
+    /// Returns the number of suspects, and of those that are quarantined.
     pub(crate) fn counts(&self) -> (usize, usize) {
         let now = clock::now();
         let quarantine = self.quarantine();
-        let open = quarantine.suspects();
-        let held = open.filter(|(r, _)| quarantine.is_quarantined(r, now));
-        (quarantine.suspects().count(), held.count())
+        let suspects = quarantine.suspects();
+        let quarantined = suspects.filter(|(r, _)| quarantine.is_quarantined(r, now));
+        (quarantine.suspects().count(), quarantined.count())
     }
 
-    /// Whether nothing is held against any request.
+    /// Returns whether no suspects are known, including cleared ones.
     pub fn is_empty(&self) -> bool {
         self.quarantine().is_empty()
     }
 }
 
-/// Waits until a request may be sent on; with which care, where upstreams ended under it.
+/// Waits until a request may be sent. Returns the isolation that it needs where it is a suspect.
 pub(crate) async fn wait_until_permitted(
     cx: &Cx,
-    job: &RoutedRequest,
+    req: &RoutedRequest,
 ) -> Result<Option<Isolation>, Refusal> {
-    cx.suspects.wait_known(cx).await;
+    cx.suspects.wait_until_loaded(cx).await;
     if cx.suspects.is_empty() {
         return Ok(None);
     }
-    let patience = (clock::now() + TRIED_WAIT).min(job.deadline);
+    let wait_until = (clock::now() + MAX_TRIAL_WAIT).min(req.deadline);
     loop {
         let now = clock::now();
-        match cx.suspects.verdict(job) {
+        match cx.suspects.decision(req) {
             Decision::Allow => return Ok(None),
-            Decision::Trial(care) => return Ok(Some(care)),
-            Decision::WaitUntil(at) if at < job.deadline => {
-                let apart = APART_TIME.mul_f64(rand::rng().random_range(0.0..1.0));
-                tokio::time::sleep(at.saturating_duration_since(now) + apart).await;
+            Decision::Trial(isolation) => return Ok(Some(isolation)),
+            Decision::WaitUntil(at) if at < req.deadline => {
+                let stagger = MAX_STAGGER.mul_f64(rand::rng().random_range(0.0..1.0));
+                tokio::time::sleep(at.saturating_duration_since(now) + stagger).await;
             }
-            Decision::InTrial if now < patience => tokio::time::sleep(RECHECK).await,
-            verdict => return Err(refusal(verdict)),
+            Decision::InTrial if now < wait_until => tokio::time::sleep(RECHECK_INTERVAL).await,
+            decision => return Err(refusal(decision)),
         }
     }
 }
 
-/// The answer to a request that may not be sent on now.
-fn refusal(verdict: Decision) -> Refusal {
-    match verdict {
+/// Returns the refusal of a request that may not be sent now.
+fn refusal(decision: Decision) -> Refusal {
+    match decision {
         Decision::Quarantined(_) => Refusal::Quarantined,
-        _ => Refusal::Suspect(TRIED_RETRY),
+        _ => Refusal::Suspect(IN_TRIAL_RETRY),
     }
 }
 
-fn end_of(upstream: &Upstream) -> UpstreamExit {
+fn exit_of(upstream: &Upstream) -> UpstreamExit {
     UpstreamExit {
         incarnation: upstream.incarnation,
         at: clock::now(),
--- a/crates/gateway/tests/feedback.rs
+++ b/crates/gateway/tests/feedback.rs
@@ -1,14 +1,12 @@
-//! Feedback of upstreams in their answers, and updates between gateways.
+//! Feedback of upstreams in their responses, and its updates between gateways.
 
 use std::time::{Duration, Instant};
 
 use beacon::RateLimitUpdate;
 use gateway::announcements::Scope;
 use gateway::feedback::Feedback;
-use gateway::request::Advertised;
-use gateway::request::ResponseMetadata;
-use gateway::upstream::ListedUpstream;
-use gateway::upstream::Upstream;
+use gateway::request::{Advertised, ResponseMetadata};
+use gateway::upstream::{ListedUpstream, Upstream};
 
 fn upstream() -> Upstream {
     Upstream::new(ListedUpstream {
@@ -48,7 +46,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn an_answer_to_a_request_sent_before_the_limit_was_advertised_does_not_lift_it() {
+fn response_to_earlier_request_does_not_lift_rate_limit() {
     let (feedback, upstream, start) = (Feedback::default(), upstream(), Instant::now());
     feedback.observe(
         &upstream,
@@ -76,7 +74,7 @@
 }
 
 #[test]
-fn a_value_that_is_invalid_leaves_the_limit_as_it_is() {
+fn invalid_value_keeps_rate_limit() {
     let (feedback, upstream, start) = (Feedback::default(), upstream(), Instant::now());
     feedback.observe(
         &upstream,
@@ -97,7 +95,7 @@
 }
 
 #[test]
-fn the_update_about_the_later_answer_wins() {
+fn update_of_later_response_wins() {
     let (feedback, upstream, now) = (Feedback::default(), upstream(), Instant::now());
     let now = now + 10 * SECOND;
 
@@ -114,7 +112,7 @@
 }
 
 #[test]
-fn a_new_limit_is_sent_everywhere_four_times() {
+fn new_rate_limit_is_sent_everywhere_four_times() {
     let (feedback, upstream, start) = (Feedback::default(), upstream(), Instant::now());
     feedback.observe(
         &upstream,
@@ -132,12 +130,12 @@
         next = due.next;
     }
 
-    let rates: Vec<_> = sent.iter().map(|n| n.per_1000_s).collect();
+    let rates: Vec<_> = sent.iter().map(|u| u.per_1000_s).collect();
     assert_eq!(rates, [Some(2000); 4]);
 }
 
 #[test]
-fn a_limit_received_in_thousandths_is_unchanged_when_the_upstream_advertises_it_again() {
+fn readvertised_limit_equals_limit_received_in_thousandths() {
     let (feedback, upstream, start) = (Feedback::default(), upstream(), Instant::now());
     feedback.receive(
         vec![update(&upstream, Some(1333), Duration::ZERO)],
@@ -145,14 +143,14 @@
         start,
     );
 
-    let reply = advertising(Advertised::Value(4.0 / 3.0));
-    feedback.observe(&upstream, &reply, start, start + SECOND);
+    let response = advertising(Advertised::Value(4.0 / 3.0));
+    feedback.observe(&upstream, &response, start, start + SECOND);
 
     assert!(feedback.due(start + SECOND).near.is_empty());
 }
 
 #[test]
-fn an_update_of_another_domain_is_relayed_within_the_own_one_only() {
+fn update_of_another_domain_is_relayed_once_within_own_domain() {
     let (feedback, upstream, now) = (Feedback::default(), upstream(), Instant::now());
     let updates = vec![update(&upstream, Some(2000), Duration::ZERO)];
 
@@ -166,7 +164,7 @@
 }
 
 #[test]
-fn the_limit_of_a_listed_upstream_is_never_forgotten() {
+fn purge_retains_limits_of_listed_upstreams() {
     let (feedback, upstream, start) = (Feedback::default(), upstream(), Instant::now());
     feedback.observe(
         &upstream,
