--- a/crates/gateway/src/attempt_ages.rs
+++ b/crates/gateway/src/attempt_ages.rs
@@ -21,13 +21,13 @@
         };
         let mut routes = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
         match routes.get_mut(route) {
-            Some(stated) => stated.observe(timeout, now),
+            Some(estimator) => estimator.observe(timeout, now),
             None => {
                 // Only the first request of a route copies its name.
-                let mut stated = AttemptAgeEstimator::new(now);
-                let waited = stated.observe(timeout, now);
-                routes.insert(route.to_owned(), stated);
-                waited
+                let mut estimator = AttemptAgeEstimator::new(now);
+                let attempt_age = estimator.observe(timeout, now);
+                routes.insert(route.to_owned(), estimator);
+                attempt_age
             }
         }
     }
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -114,7 +114,7 @@
         self.state().rate_limits.updates(now)
     }
 
-    /// Drops expired feedback, and after [`UNLISTED_TIME`] that of upstreams that aren't listed.
+    /// Drops expired feedback, and after `UNLISTED_TIME` that of upstreams that aren't listed.
     pub fn purge(&self, listed: &Set<LifeId>, now: Instant) {
         let State {
             rate_limits,
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -241,7 +241,7 @@
     }
 
     /// Applies updates of another gateway, and relays those that are new to `relay_to`. Returns the incarnations of
-    /// upstreams that exited within [`RECENT_EXIT`], where that is new.
+    /// upstreams that exited within `RECENT_EXIT`, where that is new.
     pub fn receive(&self, updates: Vec<SuspectUpdate>, relay_to: Option<Scope>) -> Vec<LifeId> {
         let now = clock::now();
         let mut exited = Vec::new();
