--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -56,10 +56,13 @@
         leaving: agent.leaving(),
         superseded: agent.superseded(),
         revision: agent.force.revision(),
-        age_ms: agent.force.age().map(|age| age.as_millis() as u64),
+        age_ms: agent
+            .force
+            .confirmation_age()
+            .map(|age| age.as_millis() as u64),
         running: agent.gate.running(),
         live: live(agent),
-        chunk_bytes: agent.chunks().held(),
+        chunk_bytes: agent.chunks().stored_bytes(),
         answer_bytes: agent.ledger.bytes(),
         origin_bytes: read(&agent.drawn.origin),
         peer_bytes: read(&agent.drawn.peers),
--- a/crates/agent/src/bring.rs
+++ b/crates/agent/src/bring.rs
@@ -178,7 +178,7 @@
                 warn!(target: PART, "{PART}: no manifest of {name} is published; run `driftnotch publish`");
                 warned = true;
             }
-            Err(e @ PlatformError::Garbled(_)) => warn!(target: PART, "{PART}: {e}"),
+            Err(e @ PlatformError::InvalidResponse(_)) => warn!(target: PART, "{PART}: {e}"),
             Ok(None) | Err(_) => {}
         }
         tokio::time::sleep(MANIFEST_PAUSE).await;
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -12,7 +12,7 @@
 use displaydoc::Display;
 use hyper::{Method, Request, StatusCode};
 use serde::{Deserialize, Serialize};
-use web::{Client, Dial, read_body};
+use web::{Client, DialOptions, read_body};
 use weights::Manifest;
 
 /// Largest answer of an engine about itself, in bytes.
@@ -86,7 +86,7 @@
     /// The engine at an address.
     pub fn new(addr: SocketAddr, timeout: Duration, load_timeout: Duration) -> Engine {
         Engine {
-            client: Client::new(Dial::within(timeout)),
+            client: Client::new(DialOptions::with_timeout(timeout)),
             addr,
             timeout,
             load_timeout,
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -89,9 +89,9 @@
 }
 
 fn rule(agent: &Agent, version: Digest) -> Rule {
-    let (view, domains) = (agent.force.view(), agent.force.domains());
+    let (view, domains) = (agent.force.current(), agent.force.domains());
     let version = Version::Weights(version);
-    let permits = |domain: &&String| view.table.may_hold(&version, domain, domains);
+    let permits = |domain: &&String| view.table.permits_weights(&version, domain, domains);
     let permitted = domains.names().filter(permits).cloned().collect();
     Rule {
         vm: agent.cfg.upkeep.vm.clone(),
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -11,7 +11,7 @@
 use base::{Map, Set};
 use displaydoc::Display;
 use settings::AgentCfg;
-use table::{Force, Version};
+use table::{ActiveTable, Version};
 use tokio::sync::Notify;
 
 use crate::ask::Ask;
@@ -75,7 +75,7 @@
     }
 
     /// Lets a request in, or says why not.
-    pub fn admit(&self, ask: &Ask, cfg: &AgentCfg, force: &Force) -> Result<Pass, Closed> {
+    pub fn admit(&self, ask: &Ask, cfg: &AgentCfg, force: &ActiveTable) -> Result<Pass, Closed> {
         check_row(ask, cfg, force)?;
         let mut state = self.state();
         let running: u32 = state.running.values().sum();
@@ -133,16 +133,16 @@
 }
 
 /// Holds a request against the agent's own edition of the table.
-fn check_row(ask: &Ask, cfg: &AgentCfg, force: &Force) -> Result<(), Closed> {
+fn check_row(ask: &Ask, cfg: &AgentCfg, force: &ActiveTable) -> Result<(), Closed> {
     let domains = force.domains();
-    let view = force.view();
+    let view = force.current();
     let own = &cfg.upkeep.domain;
     let row = match view.table.find(&ask.model, &ask.version, own, domains) {
         Some(row) if row.permits(&ask.domain, domains) => row,
         _ if !cfg.check_places => return Ok(()),
         _ => return Err(Closed::Place),
     };
-    match force.holds(row) {
+    match force.may_serve(row) {
         true => Ok(()),
         false => Err(Closed::Hold),
     }
--- a/crates/agent/src/handle.rs
+++ b/crates/agent/src/handle.rs
@@ -169,7 +169,7 @@
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
                 Ok(None) => break,
                 Ok(Some(Err(_))) | Err(_) => {
-                    let cut = BodyError::Cut("the upstream broke off");
+                    let cut = BodyError::Interrupted("the upstream broke off");
                     let _ = frames_tx.send(Err(cut)).await;
                     self.agent.ledger.finish(&self.ask.id, None);
                     return;
@@ -323,7 +323,7 @@
             }
             Ok(Some(Err(e))) => Some((Err(BodyError::Broken(e)), None)),
             Ok(None) => None,
-            Err(_) => Some((Err(BodyError::Slow(Duration::ZERO)), None)),
+            Err(_) => Some((Err(BodyError::TimedOut(Duration::ZERO)), None)),
         }
     });
     BodyExt::boxed_unsync(StreamBody::new(frames))
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -31,7 +31,7 @@
 
 use base::{Digest, Fence, Incarnation, Map};
 use settings::AgentCfg;
-use table::{Force, Version};
+use table::{ActiveTable, Version};
 use tokio::sync::{mpsc, watch};
 use weights::{ChunkStore, Manifest};
 use wire::counted::Traffic;
@@ -54,7 +54,7 @@
     /// Incarnation of this process.
     pub incarnation: Incarnation,
     /// The edition it serves by.
-    pub force: Arc<Force>,
+    pub force: Arc<ActiveTable>,
     /// Lets requests in.
     pub gate: gate::Gate,
     /// Unsafe requests.
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -13,10 +13,10 @@
 use base::{Digest, Map, rendezvous};
 use log::{debug, info, warn};
 use rand::seq::IteratorRandom;
-use table::{Patch, Refused};
+use table::{Patch, PatchError};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
-use wire::{AgentInfo, Beat, BeatReply, Holding, Link, SeatLink, WireError};
+use wire::{AgentInfo, AgentSession, Heartbeat, HeartbeatReply, Holding, Link, WireError};
 
 use crate::{Agent, PeersJob};
 
@@ -38,7 +38,7 @@
 /// An entry that can't be linked to for this long is forgotten, unless the settings name it.
 const FORGET: Duration = Duration::from_secs(60);
 
-type Live = Rc<RefCell<Map<SocketAddr, Rc<SeatLink>>>>;
+type Live = Rc<RefCell<Map<SocketAddr, Rc<AgentSession>>>>;
 type Learnt = mpsc::UnboundedSender<Vec<SocketAddr>>;
 
 /// Keeps links for as long as the process runs; call within a `LocalSet`.
@@ -152,7 +152,7 @@
     rendezvous::rank(format!("{vm} ").as_bytes(), &addr.to_string())
 }
 
-async fn ask_peers(seat: Option<Rc<SeatLink>>, job: PeersJob) {
+async fn ask_peers(seat: Option<Rc<AgentSession>>, job: PeersJob) {
     let Some(seat) = seat else {
         return;
     };
@@ -180,8 +180,8 @@
     let mut told = None;
     loop {
         let reply = beat(agent, &seat, seen, &mut told).await?;
-        let view = agent.force.view();
-        if reply.fresh.revision < view.edition.revision {
+        let view = agent.force.current();
+        if reply.freshness.revision < view.edition.revision {
             // The entry may have restarted: an edition lasts as long as any process has it.
             seat.offer(&view.edition).await?;
         }
@@ -202,15 +202,15 @@
 /// Sends a heartbeat, with the versions if they are not those that were `told` last.
 async fn beat(
     agent: &Agent,
-    seat: &SeatLink,
+    seat: &AgentSession,
     entries_seen: u64,
     told: &mut Option<Vec<Holding>>,
-) -> Result<BeatReply, WireError> {
+) -> Result<HeartbeatReply, WireError> {
     let asked = clock::now();
     let holdings = agent.holdings.borrow().clone();
     let same_holdings = told.as_ref() == Some(&holdings);
     *told = Some(holdings.clone());
-    let beat = Beat {
+    let beat = Heartbeat {
         revision: agent.force.revision(),
         running: agent.gate.running(),
         leaving: agent.leaving(),
@@ -218,10 +218,13 @@
         entries_seen,
         same_holdings,
     };
-    let reply = seat.beat(&beat).await?;
-    let age = reply.fresh.age;
-    if let Some(confirmed) = asked.checked_sub(age).filter(|_| age < wire::NEVER) {
-        agent.force.confirm(reply.fresh.revision, confirmed);
+    let reply = seat.heartbeat(&beat).await?;
+    let age = reply.freshness.age;
+    if let Some(confirmed) = asked
+        .checked_sub(age)
+        .filter(|_| age < wire::NEVER_CONFIRMED)
+    {
+        agent.force.confirm(reply.freshness.revision, confirmed);
     }
     if reply.leaving && !agent.leaving() {
         info!(target: PART, "{PART}: the platform lists this VM as leaving; no new requests are taken");
@@ -230,7 +233,7 @@
     Ok(reply)
 }
 
-async fn watch(agent: &Agent, seat: &SeatLink) -> Result<(), WireError> {
+async fn watch(agent: &Agent, seat: &AgentSession) -> Result<(), WireError> {
     loop {
         let patch = seat.watch(agent.force.revision()).await?;
         if follow(agent, patch).await == Followed::NotFrom {
@@ -249,11 +252,11 @@
 
 async fn follow(agent: &Agent, patch: Patch) -> Followed {
     let revision = patch.revision;
-    match agent.force.follow(patch) {
+    match agent.force.apply_patch(patch) {
         Ok(true) => info!(target: PART, "{PART}: revision {revision} is in force"),
         Ok(false) => {}
-        Err(Refused::Base) => return Followed::NotFrom,
-        Err(Refused::Faults(faults)) => {
+        Err(PatchError::UnknownBase) => return Followed::NotFrom,
+        Err(PatchError::Faults(faults)) => {
             let first = faults.first().map(ToString::to_string).unwrap_or_default();
             warn!(target: PART, "{PART}: revision {revision} doesn't fit ({first}); give all VMs the same domains");
             tokio::time::sleep(MISFIT_PAUSE).await;
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -53,10 +53,10 @@
 }
 
 fn may_have(agent: &Agent, version: Digest, domain: &str) -> bool {
-    let view = agent.force.view();
+    let view = agent.force.current();
     let domains = agent.force.domains();
     view.table
-        .may_hold(&Version::Weights(version), domain, domains)
+        .permits_weights(&Version::Weights(version), domain, domains)
 }
 
 fn manifest(agent: &Agent, version: Digest) -> Response {
@@ -85,7 +85,7 @@
 fn held_map(agent: &Agent, version: Digest) -> Option<Vec<u8>> {
     let manifest = agent.manifests().get(&version).cloned()?;
     let chunks = agent.chunks();
-    let held = |c| if chunks.has(c) { HELD } else { NOT_HELD };
+    let held = |c| if chunks.contains(c) { HELD } else { NOT_HELD };
     Some(manifest.chunks.iter().map(held).collect())
 }
 
--- a/crates/agent/src/rollout.rs
+++ b/crates/agent/src/rollout.rs
@@ -216,7 +216,7 @@
 /// Rows that this VM is to run by the edition in force.
 fn wanted(agent: &Agent) -> Vec<Wanted> {
     let cfg = &agent.cfg;
-    let view = agent.force.view();
+    let view = agent.force.current();
     view.table
         .rows
         .iter()
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -10,10 +10,10 @@
 use log::{info, warn};
 use settings::AgentCfg;
 use store::{Kv, Objects, Origin};
-use table::Force;
+use table::ActiveTable;
 use tokio::net::TcpListener;
 use tokio::sync::{Semaphore, mpsc, watch};
-use web::{Bounds, Client, Dial, Stop};
+use web::{Client, DialOptions, ServerLimits, StopSignal};
 use weights::ChunkStore;
 use wire::counted::Traffic;
 
@@ -49,7 +49,7 @@
 pub type Render = Arc<dyn Fn() -> String + Send + Sync>;
 
 /// Runs an agent until `stop`, then lets what runs end.
-pub async fn run(cfg: AgentCfg, mut stop: Stop, render: Render) -> Result<(), AgentError> {
+pub async fn run(cfg: AgentCfg, mut stop: StopSignal, render: Render) -> Result<(), AgentError> {
     let entries = bind(cfg.listen, "listen").await?;
     let peers = bind(cfg.peer, "peer").await?;
     let admin = bind(cfg.upkeep.admin, "admin").await?;
@@ -61,11 +61,11 @@
     start_links(&agent, jobs)?;
     tokio::spawn(rollout::follow(agent.clone()));
     let (close, closing) = watch::channel(false);
-    let bounds = Bounds {
-        connections: upkeep.max_connections,
+    let bounds = ServerLimits {
+        max_connections: upkeep.max_connections,
         header_timeout: upkeep.header_timeout,
-        header_bytes: upkeep.max_header,
-        drain: upkeep.drain_timeout,
+        max_header_bytes: upkeep.max_header,
+        drain_timeout: upkeep.drain_timeout,
     };
     let a = agent.clone();
     let entry_server = tokio::spawn(web::serve(entries, bounds, closing.clone(), move |req| {
@@ -76,9 +76,12 @@
         peer::handle(a.clone(), serves.clone(), req)
     }));
     let a = agent.clone();
-    let admin_server = tokio::spawn(web::serve(admin, Bounds::internal(), closing, move |req| {
-        admin::handle(a.clone(), req, render.clone())
-    }));
+    let admin_server = tokio::spawn(web::serve(
+        admin,
+        ServerLimits::internal(),
+        closing,
+        move |req| admin::handle(a.clone(), req, render.clone()),
+    ));
     let _ = stop.wait_for(|stopping| *stopping).await;
     drain(&agent).await;
     let _ = close.send(true);
@@ -116,21 +119,21 @@
     let incarnation = unix_ms();
     Ok(Arc::new(Agent {
         incarnation,
-        force: Arc::new(Force::new(upkeep.domains.clone())),
+        force: Arc::new(ActiveTable::new(upkeep.domains.clone())),
         gate: Gate::default(),
         ledger: Ledger::new(cfg.answer_memory as usize, cfg.answer_retention),
         engine: Engine::new(cfg.upstream, cfg.engine_timeout, cfg.load_timeout),
-        client: Client::new(Dial {
+        client: Client::new(DialOptions {
             timeout: CONNECT_TIMEOUT,
-            keep: true,
+            keep_alive: true,
             source: upkeep.source,
         }),
         objects: Objects::new(Kv::new(platform.objects, platform.dial())),
         origin: Origin::new(
             origin,
-            Dial {
+            DialOptions {
                 timeout: cfg.chunk_timeout,
-                keep: true,
+                keep_alive: true,
                 source: upkeep.source,
             },
         ),
--- a/crates/base/src/digest.rs
+++ b/crates/base/src/digest.rs
@@ -13,9 +13,9 @@
 
 /// {0:?} is not a digest; give the 64 hex digits that `driftnotch publish` prints
 #[derive(Debug, Display, PartialEq, Eq)]
-pub struct BadDigest(String);
+pub struct ParseDigestError(String);
 
-impl std::error::Error for BadDigest {}
+impl std::error::Error for ParseDigestError {}
 
 impl Digest {
     /// Digest of some bytes.
@@ -29,10 +29,10 @@
     }
 
     /// A digest from its 32 bytes; fails on any other length.
-    pub fn from_slice(buf: &[u8]) -> Result<Digest, BadDigest> {
+    pub fn from_slice(buf: &[u8]) -> Result<Digest, ParseDigestError> {
         match buf.try_into() {
             Ok(bytes) => Ok(Digest(bytes)),
-            Err(_) => Err(BadDigest(format!("{} bytes", buf.len()))),
+            Err(_) => Err(ParseDigestError(format!("{} bytes", buf.len()))),
         }
     }
 
@@ -49,12 +49,12 @@
 }
 
 impl FromStr for Digest {
-    type Err = BadDigest;
+    type Err = ParseDigestError;
 
-    fn from_str(s: &str) -> Result<Digest, BadDigest> {
+    fn from_str(s: &str) -> Result<Digest, ParseDigestError> {
         blake3::Hash::from_hex(s)
             .map(|h| Digest(*h.as_bytes()))
-            .map_err(|_| BadDigest(s.chars().take(80).collect()))
+            .map_err(|_| ParseDigestError(s.chars().take(80).collect()))
     }
 }
 
@@ -65,9 +65,9 @@
 }
 
 impl TryFrom<String> for Digest {
-    type Error = BadDigest;
+    type Error = ParseDigestError;
 
-    fn try_from(s: String) -> Result<Digest, BadDigest> {
+    fn try_from(s: String) -> Result<Digest, ParseDigestError> {
         s.parse()
     }
 }
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -30,7 +30,7 @@
 pub type Fence = u64;
 
 /// One life of an upstream, from its start to its end; the same number in all processes.
-pub type LifeId = u64;
+pub type UpstreamIncarnation = u64;
 
 /// Hex digits at the start of a request id that tell when it was made.
 const TIME_DIGITS: usize = 12;
--- a/crates/base/src/place.rs
+++ b/crates/base/src/place.rs
@@ -53,19 +53,19 @@
     }
 
     /// Whether a failure domain of this name exists.
-    pub fn has(&self, domain: &str) -> bool {
+    pub fn contains(&self, domain: &str) -> bool {
         self.names().any(|name| name == domain)
     }
 
     /// Whether the place names something that exists.
-    pub fn knows(&self, place: &Place) -> bool {
-        self.names().any(|name| self.within(name, place))
+    pub fn contains_place(&self, place: &Place) -> bool {
+        self.names().any(|name| self.is_within(name, place))
     }
 
     /// Whether the failure domain lies within the place.
-    pub fn within(&self, domain: &str, place: &Place) -> bool {
+    pub fn is_within(&self, domain: &str, place: &Place) -> bool {
         match place {
-            Place::Domain(name) => name == domain && self.has(domain),
+            Place::Domain(name) => name == domain && self.contains(domain),
             Place::Region(region) => self.list.iter().any(|(d, r)| d == domain && r == region),
         }
     }
--- a/crates/base/src/units.rs
+++ b/crates/base/src/units.rs
@@ -6,9 +6,9 @@
 
 /// {0:?} has no unit that is known; write a number with {1}
 #[derive(Debug, Display, PartialEq, Eq)]
-pub struct BadUnit(String, &'static str);
+pub struct ParseUnitError(String, &'static str);
 
-impl std::error::Error for BadUnit {}
+impl std::error::Error for ParseUnitError {}
 
 const DURATION_UNITS: &str = "ms, s, m or h, such as 250ms";
 const BYTES_UNITS: &str = "B, KiB, MiB or GiB, such as 4MiB";
@@ -20,8 +20,8 @@
 }
 
 /// Reads `250ms`, `1.5s`, `5m` or `24h`; parts of a millisecond are dropped.
-pub fn parse_duration(s: &str) -> Result<Duration, BadUnit> {
-    let bad = || BadUnit(s.to_owned(), DURATION_UNITS);
+pub fn parse_duration(s: &str) -> Result<Duration, ParseUnitError> {
+    let bad = || ParseUnitError(s.to_owned(), DURATION_UNITS);
     let (number, unit) = split(s.trim());
     let unit_ms: u64 = match unit {
         "ms" => 1,
@@ -47,8 +47,8 @@
 }
 
 /// Reads `512B`, `64KiB`, `4MiB` or `2GiB`.
-pub fn parse_bytes(s: &str) -> Result<u64, BadUnit> {
-    let bad = || BadUnit(s.to_owned(), BYTES_UNITS);
+pub fn parse_bytes(s: &str) -> Result<u64, ParseUnitError> {
+    let bad = || ParseUnitError(s.to_owned(), BYTES_UNITS);
     let (number, unit) = split(s.trim());
     let number: u64 = number.parse().map_err(|_| bad())?;
     let shift = match unit {
@@ -62,7 +62,7 @@
 }
 
 /// Writes a duration in the largest unit that keeps it whole.
-pub fn show_duration(d: Duration) -> String {
+pub fn format_duration(d: Duration) -> String {
     match d.as_millis() as u64 {
         ms if ms == 0 || ms % 1_000 != 0 => format!("{ms}ms"),
         ms if ms % 3_600_000 == 0 => format!("{}h", ms / 3_600_000),
@@ -72,7 +72,7 @@
 }
 
 /// Writes a size in the largest unit that keeps it whole.
-pub fn show_bytes(n: u64) -> String {
+pub fn format_bytes(n: u64) -> String {
     const UNITS: [(u32, &str); 3] = [(30, "GiB"), (20, "MiB"), (10, "KiB")];
     UNITS
         .iter()
--- a/crates/base/tests/base.rs
+++ b/crates/base/tests/base.rs
@@ -1,7 +1,7 @@
 //! Digests, units and nearest names.
 
 use base::nearest::nearest;
-use base::units::{parse_bytes, parse_duration, show_bytes, show_duration};
+use base::units::{format_bytes, format_duration, parse_bytes, parse_duration};
 use base::{Digest, Outcome};
 use proptest::prelude::*;
 
@@ -43,8 +43,8 @@
     #[test]
     fn durations_and_sizes_are_read_as_they_are_shown(n in 0u64..1 << 40) {
         let d = std::time::Duration::from_millis(n);
-        prop_assert_eq!(parse_duration(&show_duration(d)).expect("a duration"), d);
-        prop_assert_eq!(parse_bytes(&show_bytes(n)).expect("a size"), n);
+        prop_assert_eq!(parse_duration(&format_duration(d)).expect("a duration"), d);
+        prop_assert_eq!(parse_bytes(&format_bytes(n)).expect("a size"), n);
     }
 
     #[test]
--- a/crates/beacon/src/msg.rs
+++ b/crates/beacon/src/msg.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use base::{DomainName, Fingerprint, Incarnation, LifeId, Model, Revision, VmId};
+use base::{DomainName, Fingerprint, Incarnation, Model, Revision, UpstreamIncarnation, VmId};
 use catalog::{Release, ReleaseList, StartTime};
 use serde::{Deserialize, Serialize};
 
@@ -110,7 +110,7 @@
     pub request: Fingerprint,
     /// Upstream incarnations that exited while they ran it, since it last ran to completion.
     #[serde(rename = "ends")]
-    pub exits: Vec<(LifeId, Duration)>,
+    pub exits: Vec<(UpstreamIncarnation, Duration)>,
     /// Last time it ran to completion, if recorded.
     pub finished: Option<Duration>,
     /// Current or last trial.
@@ -132,7 +132,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimitUpdate {
     /// Incarnation of the upstream.
-    pub incarnation: LifeId,
+    pub incarnation: UpstreamIncarnation,
     /// Requests per 1,000 s that it accepts from all gateways together; `None` once the limit is lifted.
     pub per_1000_s: Option<u64>,
     /// Time since that response.
--- a/crates/burn/src/counts.rs
+++ b/crates/burn/src/counts.rs
@@ -23,12 +23,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// It ended, with a whole answer or not.
-    Ended {
+    Completed {
         /// Whether its caller has a whole answer.
         served: bool,
     },
     /// Its first token came, in time or not.
-    First {
+    FirstToken {
         /// Whether it was later than the bound.
         late: bool,
     },
@@ -41,13 +41,13 @@
 
 impl Counts {
     /// Counts an event.
-    pub fn note(&mut self, event: Event) {
+    pub fn record(&mut self, event: Event) {
         match event {
-            Event::Ended { served } => {
+            Event::Completed { served } => {
                 self.ended += 1;
                 self.unserved += u64::from(!served);
             }
-            Event::First { late } => {
+            Event::FirstToken { late } => {
                 self.first += 1;
                 self.first_late += u64::from(late);
             }
--- a/crates/burn/src/history.rs
+++ b/crates/burn/src/history.rs
@@ -8,7 +8,7 @@
 use crate::{Counts, Event};
 
 /// Minutes kept.
-pub const MINUTES: u64 = 360;
+pub const HISTORY_MINUTES: u64 = 360;
 
 /// Series kept; events of further rows and workspaces go to one series named `other`.
 const MAX_SERIES: usize = 1000;
@@ -56,7 +56,7 @@
 
 impl History {
     /// Counts an event in a minute since the start.
-    pub fn note(&mut self, minute: u64, row: &str, workspace: &str, event: Event) {
+    pub fn record(&mut self, minute: u64, row: &str, workspace: &str, event: Event) {
         let key = |row: &str, workspace: &str| Key {
             row: row.to_owned(),
             workspace: workspace.to_owned(),
@@ -71,20 +71,23 @@
             minutes.push_back(Minute { minute, counts });
         }
         if let Some(last) = minutes.back_mut() {
-            last.counts.note(event);
+            last.counts.record(event);
         }
         while minutes
             .front()
-            .is_some_and(|m| m.minute + MINUTES <= minute)
+            .is_some_and(|m| m.minute + HISTORY_MINUTES <= minute)
         {
             minutes.pop_front();
         }
     }
 
     /// All series as seen in a minute since the start; empty ones are dropped.
-    pub fn tell(&mut self, now: u64) -> Vec<Series> {
-        self.series
-            .retain(|_, minutes| minutes.back().is_some_and(|m| m.minute + MINUTES > now));
+    pub fn snapshot(&mut self, now: u64) -> Vec<Series> {
+        self.series.retain(|_, minutes| {
+            minutes
+                .back()
+                .is_some_and(|m| m.minute + HISTORY_MINUTES > now)
+        });
         self.series
             .iter()
             .map(|(key, minutes)| Series {
@@ -92,7 +95,7 @@
                 workspace: key.workspace.clone(),
                 minutes: minutes
                     .iter()
-                    .filter(|m| m.minute + MINUTES > now)
+                    .filter(|m| m.minute + HISTORY_MINUTES > now)
                     .map(|m| (now.saturating_sub(m.minute), m.counts))
                     .collect(),
             })
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -10,5 +10,5 @@
 pub mod report;
 
 pub use counts::{Counts, Event};
-pub use history::{EntryHistory, History, MINUTES, Series};
-pub use report::{FAST, Line, Objective, Objectives, Report, SLOW};
+pub use history::{EntryHistory, HISTORY_MINUTES, History, Series};
+pub use report::{FAST_WINDOW, Line, Objective, Objectives, Report, SLOW_WINDOW};
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -4,13 +4,13 @@
 
 use serde::Serialize;
 
-use crate::{Counts, EntryHistory, MINUTES};
+use crate::{Counts, EntryHistory, HISTORY_MINUTES};
 
 /// Fast window, in minutes.
-pub const FAST: u64 = 60;
+pub const FAST_WINDOW: u64 = 60;
 
 /// Slow window, in minutes; also the period the budget is for, as VMs keep nothing longer.
-pub const SLOW: u64 = MINUTES;
+pub const SLOW_WINDOW: u64 = HISTORY_MINUTES;
 
 /// An objective: so many of 1000 must be good.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -106,10 +106,10 @@
 
 impl Windows {
     fn add(&mut self, age: u64, counts: &Counts) {
-        if age < FAST {
+        if age < FAST_WINDOW {
             self.fast.add(counts);
         }
-        if age < SLOW {
+        if age < SLOW_WINDOW {
             self.slow.add(counts);
         }
     }
--- a/crates/burn/tests/report.rs
+++ b/crates/burn/tests/report.rs
@@ -13,7 +13,7 @@
 fn note(h: &mut History, minute: u64, row: &str, workspace: &str, good: u32, bad: u32) {
     for i in 0..good + bad {
         let served = i < good;
-        h.note(minute, row, workspace, Event::Ended { served });
+        h.record(minute, row, workspace, Event::Completed { served });
     }
 }
 
@@ -26,7 +26,7 @@
     note(&mut h, 180, "n", "large", 900, 0);
     EntryHistory {
         domain: "recife".into(),
-        series: h.tell(180),
+        series: h.snapshot(180),
     }
 }
 
@@ -74,24 +74,24 @@
 fn what_is_older_than_the_slow_window_is_forgotten() {
     let mut h = History::default();
     note(&mut h, 0, "m", "w", 0, 7);
-    note(&mut h, burn::MINUTES, "m", "w", 3, 0);
+    note(&mut h, burn::HISTORY_MINUTES, "m", "w", 3, 0);
     let minutes = |series: Vec<Series>| series[0].minutes.clone();
-    let told = minutes(h.tell(burn::MINUTES));
+    let told = minutes(h.snapshot(burn::HISTORY_MINUTES));
     assert_eq!(told.len(), 1);
     assert_eq!((told[0].0, told[0].1.ended, told[0].1.unserved), (0, 3, 0));
-    assert!(h.tell(3 * burn::MINUTES).is_empty());
+    assert!(h.snapshot(3 * burn::HISTORY_MINUTES).is_empty());
 }
 
 #[test]
 fn late_first_tokens_and_slow_streams_have_their_own_budgets() {
     let mut h = History::default();
     for i in 0..20 {
-        h.note(5, "m", "w", Event::First { late: i < 2 });
-        h.note(5, "m", "w", Event::Stream { slow: i < 1 });
+        h.record(5, "m", "w", Event::FirstToken { late: i < 2 });
+        h.record(5, "m", "w", Event::Stream { slow: i < 1 });
     }
     let entry = EntryHistory {
         domain: "recife".into(),
-        series: h.tell(5),
+        series: h.snapshot(5),
     };
     let report = Report::new(&[entry], &objectives());
     // 2 of 20 against 5% allowed; 1 of 20 against 5% allowed.
@@ -105,7 +105,7 @@
     for i in 0..1500 {
         note(&mut h, 1, &format!("row{i}"), "w", 1, 0);
     }
-    let told = h.tell(1);
+    let told = h.snapshot(1);
     assert!(told.len() <= 1001);
     let all: u64 = told
         .iter()
--- a/crates/cli/src/commands/operator.rs
+++ b/crates/cli/src/commands/operator.rs
@@ -9,7 +9,7 @@
 use settings::{OperatorCfg, Settings};
 use store::{Kv, Tables};
 use tokio::runtime::{Builder, Runtime};
-use web::{Client, Dial, read_body};
+use web::{Client, DialOptions, read_body};
 
 use super::process;
 use crate::error::Error;
@@ -47,7 +47,7 @@
         .uri(path)
         .body(web::empty())
         .ok()?;
-    let res = Client::new(Dial::within(ANSWER))
+    let res = Client::new(DialOptions::with_timeout(ANSWER))
         .send(addr, req, ANSWER)
         .await
         .ok()?;
--- a/crates/cli/src/commands/process.rs
+++ b/crates/cli/src/commands/process.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::watch;
-use web::Bounds;
+use web::ServerLimits;
 
 use crate::error::{Error, FaultList};
 use crate::{logs, stop, usage};
@@ -74,12 +74,15 @@
         .runtime
         .block_on(TcpListener::bind(node.metrics))
         .map_err(Error::Node)?;
-    process
-        .runtime
-        .spawn(web::serve(listener, Bounds::internal(), stop, move |_| {
+    process.runtime.spawn(web::serve(
+        listener,
+        ServerLimits::internal(),
+        stop,
+        move |_| {
             let res = web::text(200, render());
             async move { res }
-        }));
+        },
+    ));
     Ok(process)
 }
 
--- a/crates/cli/src/commands/publish.rs
+++ b/crates/cli/src/commands/publish.rs
@@ -8,7 +8,7 @@
 use base::Digest;
 use serde::Serialize;
 use store::{Kv, Objects, Origin};
-use web::Dial;
+use web::DialOptions;
 use weights::Manifest;
 
 use super::operator;
@@ -30,14 +30,14 @@
 pub fn run(options: &PublishOptions) -> Result<(), Error> {
     let cfg = operator::load(&options.settings)?;
     let manifest =
-        Manifest::of(open(&options.file)?, options.chunk_bytes).map_err(Error::Weights)?;
+        Manifest::from_reader(open(&options.file)?, options.chunk_bytes).map_err(Error::Weights)?;
     let version = manifest.digest();
     let kv = Kv::new(cfg.platform.objects, cfg.platform.dial());
     let origin = cfg
         .platform
         .origin
         .ok_or_else(|| Error::Usage("the settings name no origin; add `platform_origin`".into()))?;
-    let origin = Origin::new(origin, Dial::within(CHUNK_TIMEOUT));
+    let origin = Origin::new(origin, DialOptions::with_timeout(CHUNK_TIMEOUT));
     operator::runtime()?.block_on(async {
         send_chunks(&origin, &manifest, open(&options.file)?, &options.file).await?;
         // The manifest goes last: whoever finds it finds all of the weights.
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -24,7 +24,7 @@
 use table::Edition;
 use tempfile::TempDir;
 use tokio::sync::watch;
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 use weights::Manifest;
 
 /// Longest wait for anything that must happen.
@@ -194,7 +194,7 @@
             engines,
             services,
             board,
-            client: Client::new(Dial::within(Duration::from_secs(1))),
+            client: Client::new(DialOptions::with_timeout(Duration::from_secs(1))),
             shape,
             dir: tempfile::tempdir().expect("a directory"),
             children: BTreeMap::new(),
@@ -351,7 +351,7 @@
     pub fn publish(&self, seed: u8, bytes: usize) -> Digest {
         let chunk = 64 << 10;
         let weights: Vec<u8> = (0..bytes).map(|i| (i / 7 % 251) as u8 ^ seed).collect();
-        let manifest = Manifest::of(weights.as_slice(), chunk).expect("a manifest");
+        let manifest = Manifest::from_reader(weights.as_slice(), chunk).expect("a manifest");
         let version = manifest.digest();
         let key = format!("objects/manifest/{version}");
         let buf = Bytes::from(manifest.encode());
@@ -363,7 +363,10 @@
     pub fn tables(&self) -> Tables {
         // Past the relays: the operator's own link is not what is cut.
         let addr = self.layout.platform_bound().table;
-        Tables::new(Kv::new(addr, Dial::within(Duration::from_secs(2))))
+        Tables::new(Kv::new(
+            addr,
+            DialOptions::with_timeout(Duration::from_secs(2)),
+        ))
     }
 
     /// Puts rows in force, whatever was before.
--- a/crates/cli/tests/edits.rs
+++ b/crates/cli/tests/edits.rs
@@ -103,7 +103,7 @@
     });
     let dropped = tables.apply(&current, csv(&rows(2)), "test").await;
     assert!(
-        matches!(dropped, Err(PlatformError::Lost(_))),
+        matches!(dropped, Err(PlatformError::ResponseLost(_))),
         "not known: {dropped:?}"
     );
     let after = tables
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use base::{Fingerprint, LifeId, Map};
+use base::{Fingerprint, Map, UpstreamIncarnation};
 
 /// Number of exits after which a request is quarantined. Two may be chance: of the requests at a
 /// seventh of the engines that an outage terminates, a seventh meets the next outage too.
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamExit {
     /// Incarnation that exited.
-    pub incarnation: LifeId,
+    pub incarnation: UpstreamIncarnation,
     /// Time of the exit.
     pub at: Instant,
 }
@@ -334,7 +334,7 @@
     /// Returns whether two states differ at most in times, which are never quite the same: updates
     /// take a while to arrive.
     fn is_equivalent(&self, other: &SuspectState) -> bool {
-        let incarnations = |state: &SuspectState| -> Vec<LifeId> {
+        let incarnations = |state: &SuspectState| -> Vec<UpstreamIncarnation> {
             state.exits.iter().map(|e| e.incarnation).collect()
         };
         let trial = |state: &SuspectState| state.trial.map(|t| (t.number, t.upstream));
--- a/crates/decide/src/residency.rs
+++ b/crates/decide/src/residency.rs
@@ -11,7 +11,7 @@
 /// its workspace. An empty list allows every place.
 pub fn is_allowed(domains: &Domains, domain: &str, route: &[Place], workspace: &[Place]) -> bool {
     let allows = |places: &[Place]| {
-        places.is_empty() || places.iter().any(|place| domains.within(domain, place))
+        places.is_empty() || places.iter().any(|place| domains.is_within(domain, place))
     };
     allows(route) && allows(workspace)
 }
--- a/crates/decide/tests/containment.rs
+++ b/crates/decide/tests/containment.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use base::{Fingerprint, LifeId};
+use base::{Fingerprint, UpstreamIncarnation};
 use decide::quarantine::{Decision, Isolation, Quarantine, SuspectState, UpstreamExit};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -73,7 +73,7 @@
     /// A trial was announced and may start.
     Announced(Attempt, usize, u32),
     /// A request completes or makes its engine exit, unless the engine has exited before.
-    Completes(Attempt, usize, LifeId),
+    Completes(Attempt, usize, UpstreamIncarnation),
     /// A fraction of all engines exits.
     Outage(f64),
     /// A gateway sends its update on a request.
@@ -83,7 +83,7 @@
 }
 
 struct Engine {
-    incarnation: LifeId,
+    incarnation: UpstreamIncarnation,
     up_from: Instant,
     running: Vec<Attempt>,
 }
@@ -97,7 +97,7 @@
     gateways: Vec<Quarantine>,
     domains: usize,
     engines: Vec<Engine>,
-    last_incarnation: LifeId,
+    last_incarnation: UpstreamIncarnation,
     exits: usize,
     quarantined: Vec<u64>,
     quarantine_refusals: usize,
@@ -107,7 +107,7 @@
     fn new(gateways: usize, engines: usize, domains: usize, seed: u64) -> Fleet {
         let now = Instant::now();
         let engine = |n: usize| Engine {
-            incarnation: n as LifeId,
+            incarnation: n as UpstreamIncarnation,
             up_from: now,
             running: Vec::new(),
         };
@@ -120,7 +120,7 @@
             gateways: (0..gateways).map(|_| Quarantine::new(HOLD_TIME)).collect(),
             domains,
             engines: (0..engines).map(engine).collect(),
-            last_incarnation: engines as LifeId,
+            last_incarnation: engines as UpstreamIncarnation,
             exits: 0,
             quarantined: Vec::new(),
             quarantine_refusals: 0,
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -98,7 +98,7 @@
 }
 
 fn status(entry: &Entry) -> Status {
-    let view = entry.force.view();
+    let view = entry.force.current();
     let upkeep = &entry.cfg.upkeep;
     let mut upstreams: Vec<UpstreamStatus> = entry
         .fleet
@@ -122,7 +122,10 @@
         leaving: entry.stopping(),
         revision: view.edition.revision,
         in_force_ms: clock::since(view.since).as_millis() as u64,
-        age_ms: entry.force.age().map(|age| age.as_millis() as u64),
+        age_ms: entry
+            .force
+            .confirmation_age()
+            .map(|age| age.as_millis() as u64),
         entries: others.map(|e| e.note.vm).collect(),
         upstreams,
         remote: entry
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/answer.rs
@@ -239,7 +239,7 @@
             return Some(Ok(self.last_event(Outcome::Unknown, why)));
         }
         self.finish(Outcome::Unknown, why);
-        Some(Err(BodyError::Cut(why)))
+        Some(Err(BodyError::Interrupted(why)))
     }
 
     fn last_event(&mut self, outcome: Outcome, why: &str) -> Frame<Bytes> {
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/call.rs
@@ -105,7 +105,7 @@
             .await
             .map_err(|e| match e {
                 BodyError::TooLarge(limit) => Refusal::TooLarge(limit),
-                BodyError::Slow(within) => Refusal::SlowBody(within),
+                BodyError::TimedOut(within) => Refusal::SlowBody(within),
                 e => Refusal::Malformed(e.to_string()),
             })?;
         let mut call = Call {
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -13,9 +13,9 @@
 use base::{Digest, DomainName, Incarnation, RequestId, Set, VmId};
 use futures_util::future::join_all;
 use serde::{Deserialize, Serialize};
-use store::{Got, Kv, Op, PlatformError, Tag, Unless};
+use store::{Kv, Op, PlatformError, ReadResult, Tag, Unless};
 use tokio::sync::{Semaphore, mpsc, oneshot};
-use wire::{Claim, Claimed};
+use wire::{Claim, ClaimOutcome};
 
 /// Claims that may wait to be written; more are refused.
 const MAX_WAITING: usize = 4096;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 struct Pending {
     claim: Claim,
-    tx: oneshot::Sender<Claimed>,
+    tx: oneshot::Sender<ClaimOutcome>,
 }
 
 /// How claims are gathered.
@@ -94,7 +94,7 @@
     where
         C: Fn() -> Option<SocketAddr> + Send + Sync + 'static,
         W: Fn(SocketAddr, Vec<Claim>) -> F + Send + Sync + 'static,
-        F: Future<Output = Vec<Claimed>> + Send + 'static,
+        F: Future<Output = Vec<ClaimOutcome>> + Send + 'static,
     {
         let (writer, to_write) = mpsc::channel(MAX_WAITING);
         let (own, own_claims) = mpsc::channel(MAX_WAITING);
@@ -129,15 +129,15 @@
         let ttl = self.gather.retention;
         let claimed = enqueue(&self.own, Claim { key, value, ttl }).await;
         match claimed {
-            Claimed::Won => Written::Won,
-            Claimed::Taken => Written::Taken,
-            Claimed::Down => Written::Down,
-            Claimed::Unknown => Written::Unknown,
+            ClaimOutcome::Won => Written::Won,
+            ClaimOutcome::Taken => Written::Taken,
+            ClaimOutcome::Unavailable => Written::Down,
+            ClaimOutcome::Unknown => Written::Unknown,
         }
     }
 
     /// Takes in claims, of this entry or another, and writes them with what else has gathered.
-    pub async fn write_for(&self, claims: Vec<Claim>) -> Vec<Claimed> {
+    pub async fn write_for(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
         let written = claims.into_iter().map(|c| enqueue(&self.writer, c));
         join_all(written).await
     }
@@ -161,16 +161,16 @@
     /// The record under a key, with its tag.
     pub async fn read(&self, key: &str) -> Result<Option<(Record, Tag)>, PlatformError> {
         match self.kv.get(&format!("/kv/{key}"), None).await? {
-            Got::Value(buf, tag) => serde_json::from_slice(&buf)
+            ReadResult::Value(buf, tag) => serde_json::from_slice(&buf)
                 .map(|record| Some((record, tag)))
-                .map_err(|e| PlatformError::Garbled(e.to_string())),
-            Got::Absent | Got::Unchanged => Ok(None),
+                .map_err(|e| PlatformError::InvalidResponse(e.to_string())),
+            ReadResult::Absent | ReadResult::Unchanged => Ok(None),
         }
     }
 
     /// Writes claims in one transaction; claims whose key is taken are left out and told so.
-    pub async fn commit(&self, claims: Vec<Claim>) -> Vec<Claimed> {
-        let mut results = vec![Claimed::Taken; claims.len()];
+    pub async fn commit(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
+        let mut results = vec![ClaimOutcome::Taken; claims.len()];
         let mut left: Vec<usize> = first_of_each_key(&claims);
         while !left.is_empty() {
             let ops = left
@@ -179,17 +179,17 @@
                 .collect();
             metrics::counter!("driftnotch_claim_writes_total").increment(1);
             let result = match self.kv.commit(ops).await {
-                Ok(Ok(_)) => Claimed::Won,
+                Ok(Ok(_)) => ClaimOutcome::Won,
                 Ok(Err(taken)) => {
                     let before = left.len();
                     left.retain(|i| !taken.contains(&claims[*i].key));
                     match left.len() < before {
                         true => continue,
-                        false => Claimed::Unknown,
+                        false => ClaimOutcome::Unknown,
                     }
                 }
-                Err(e) if e.may_have_written() => Claimed::Unknown,
-                Err(_) => Claimed::Down,
+                Err(e) if e.may_have_written() => ClaimOutcome::Unknown,
+                Err(_) => ClaimOutcome::Unavailable,
             };
             left.drain(..).for_each(|i| results[i] = result);
         }
@@ -215,11 +215,11 @@
 }
 
 /// Puts a claim in line and waits for what becomes of it.
-async fn enqueue(line: &mpsc::Sender<Pending>, claim: Claim) -> Claimed {
+async fn enqueue(line: &mpsc::Sender<Pending>, claim: Claim) -> ClaimOutcome {
     let (tx, rx) = oneshot::channel();
     match line.try_send(Pending { claim, tx }) {
-        Ok(()) => rx.await.unwrap_or(Claimed::Unknown),
-        Err(_) => Claimed::Down,
+        Ok(()) => rx.await.unwrap_or(ClaimOutcome::Unknown),
+        Err(_) => ClaimOutcome::Unavailable,
     }
 }
 
@@ -228,7 +228,7 @@
 async fn gather_claims<W, F>(mut rx: mpsc::Receiver<Pending>, gather: Gather, write: W)
 where
     W: Fn(Vec<Claim>) -> F,
-    F: Future<Output = Vec<Claimed>> + Send + 'static,
+    F: Future<Output = Vec<ClaimOutcome>> + Send + 'static,
 {
     let writes = Arc::new(Semaphore::new(MAX_WRITES));
     while let Some(first) = rx.recv().await {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -34,7 +34,7 @@
 use std::time::{Duration, Instant};
 
 use settings::EntryCfg;
-use table::Force;
+use table::ActiveTable;
 use wire::counted::Traffic;
 
 /// Bytes that one heartbeat with its answer costs on the link, acknowledgements included.
@@ -64,7 +64,7 @@
     /// Settings.
     pub cfg: EntryCfg,
     /// The edition it serves by.
-    pub force: Arc<Force>,
+    pub force: Arc<ActiveTable>,
     /// Upstreams and entries it knows.
     pub fleet: membership::fleet::Fleet,
     /// Limits.
@@ -109,7 +109,7 @@
             local.iter().any(|u| u.holdings().iter().any(|h| h.live))
                 || !self.fleet.remote().is_empty()
         };
-        match self.force.age() {
+        match self.force.confirmation_age() {
             _ if self.stopping() => Readiness::Stopping,
             None => Readiness::NoTable,
             Some(_) if clock::since(self.begun) < JOIN_TIME && !any_live() => Readiness::NoAgents,
--- a/crates/entry/src/membership/control.rs
+++ b/crates/entry/src/membership/control.rs
@@ -12,7 +12,7 @@
 use table::{Patch, Version};
 use tokio::net::TcpListener;
 use wire::control_capnp::{entry as rpc, seat};
-use wire::{BeatReply, Freshness, Note, WireError, convert};
+use wire::{EntryUpdate, Freshness, HeartbeatReply, WireError, convert};
 
 use crate::Entry;
 use crate::membership::links::{self, follow};
@@ -81,7 +81,7 @@
         params: rpc::ExchangeParams,
         mut results: rpc::ExchangeResults,
     ) -> Result<(), Error> {
-        let note = convert::read_note(params.get()?.get_note()?)?;
+        let note = convert::read_entry_update(params.get()?.get_note()?)?;
         let to = note.domain.clone();
         self.entry
             .book
@@ -90,7 +90,7 @@
         let interval = links::interval(&self.entry);
         self.entry.fleet.heard(note, self.entry.lease(), interval);
         let own = own_note(&self.entry, &to, Some(from));
-        convert::write_note(results.get().init_note(), &own);
+        convert::write_entry_update(results.get().init_note(), &own);
         Ok(())
     }
 
@@ -124,7 +124,7 @@
         let claimed = self.entry.claims.write_for(claims).await;
         let mut list = results.get().init_results(n);
         for (i, c) in claimed.into_iter().enumerate() {
-            list.set(i as u32, convert::write_claimed(c));
+            list.set(i as u32, convert::write_claim_outcome(c));
         }
         Ok(())
     }
@@ -174,14 +174,14 @@
         params: seat::BeatParams,
         mut results: seat::BeatResults,
     ) -> Result<(), Error> {
-        let beat = convert::read_beat(params.get()?.get_beat()?)?;
+        let beat = convert::read_heartbeat(params.get()?.get_beat()?)?;
         let seen = beat.entries_seen;
         self.entry
             .fleet
             .beat(&self.upstream, beat, self.entry.lease());
         let entries_seen = self.entry.fleet.entries_seen();
-        let reply = BeatReply {
-            fresh: freshness(&self.entry),
+        let reply = HeartbeatReply {
+            freshness: freshness(&self.entry),
             interval: self.entry.beat_interval(),
             leaving: self.entry.fleet.listed_leaving(self.upstream.vm()),
             entries_seen,
@@ -190,7 +190,7 @@
                 false => domain_entries(&self.entry),
             },
         };
-        convert::write_beat_reply(results.get().init_reply(), &reply);
+        convert::write_heartbeat_reply(results.get().init_reply(), &reply);
         Ok(())
     }
 
@@ -203,7 +203,7 @@
         later_than(&self.entry, have).await?;
         let wait = self.pushes.borrow_mut().take();
         tokio::time::sleep(wait).await;
-        let patch = self.entry.force.patch(have);
+        let patch = self.entry.force.patch_from(have);
         convert::write_patch(results.get().init_edition(), &patch);
         Ok(())
     }
@@ -225,7 +225,7 @@
     ) -> Result<(), Error> {
         let text = params.get()?.get_version()?.to_str()?;
         let version =
-            Version::parse(text).ok_or_else(|| WireError::Garbled("version".to_owned()))?;
+            Version::parse(text).ok_or_else(|| WireError::InvalidMessage("version".to_owned()))?;
         let peers = self.entry.fleet.peers(&version);
         convert::write_peers(results.get().init_peers(peers.len() as u32), &peers);
         Ok(())
@@ -239,34 +239,37 @@
         .wait_for(|view| view.edition.revision > have)
         .await
         .map_err(|e| Error::failed(e.to_string()))?;
-    Ok(entry.force.patch(have))
+    Ok(entry.force.patch_from(have))
 }
 
 /// What this entry serves by. An unconfirmed one has an age that no hold allows.
 fn freshness(entry: &Entry) -> Freshness {
     Freshness {
         revision: entry.force.revision(),
-        age: entry.force.age().unwrap_or(wire::NEVER),
+        age: entry
+            .force
+            .confirmation_age()
+            .unwrap_or(wire::NEVER_CONFIRMED),
     }
 }
 
 /// What this entry tells an entry of a failure domain; `None` where it isn't known yet which.
-pub fn own_note(entry: &Entry, to: &str, addr: Option<SocketAddr>) -> Note {
+pub fn own_note(entry: &Entry, to: &str, addr: Option<SocketAddr>) -> EntryUpdate {
     let upkeep = &entry.cfg.upkeep;
     let fleet = &entry.fleet;
     let sibling = to == upkeep.domain;
     let state = fleet.state(to);
     let told = addr.is_some_and(|addr| fleet.taken_by(addr) != state);
-    Note {
+    EntryUpdate {
         vm: upkeep.vm.clone(),
         domain: upkeep.domain.clone(),
         control: entry.cfg.control_reached(),
-        fresh: freshness(entry),
+        freshness: freshness(entry),
         leaving: entry.stopping(),
         entries: entry.book.sample(ENTRY_SAMPLE),
         state,
-        seen: addr.map_or(0, |addr| fleet.applied(addr)),
-        told,
+        applied_state: addr.map_or(0, |addr| fleet.applied(addr)),
+        has_lists: told,
         agents: only(told && sibling, || fleet.digests()),
         replicas: only(told && !sibling, || fleet.replicas()),
         rollouts: only(told && !sibling, || fleet.rollouts()),
--- a/crates/entry/src/membership/fleet.rs
+++ b/crates/entry/src/membership/fleet.rs
@@ -15,7 +15,7 @@
 use base::{DomainName, Map, Set, VmId, unix_ms};
 use table::Version;
 use tokio::sync::watch;
-use wire::{AgentDigest, AgentInfo, Beat, Note, Peer, Replica, Rollout};
+use wire::{AgentInfo, AgentStatus, EntryUpdate, Heartbeat, Peer, Replica, Rollout};
 
 use crate::membership::upstream::Upstream;
 
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct OtherEntry {
     /// Last note, without its lists.
-    pub note: Note,
+    pub note: EntryUpdate,
     /// Rollouts of its domain, as last told.
     pub rollouts: Vec<Rollout>,
     /// State of its lists that was last taken.
@@ -126,7 +126,7 @@
     }
 
     /// Takes a heartbeat of an agent that joined here.
-    pub fn beat(&self, upstream: &Upstream, beat: Beat, lease: Duration) {
+    pub fn beat(&self, upstream: &Upstream, beat: Heartbeat, lease: Duration) {
         if upstream.beat(beat, lease) {
             self.joined_changed();
         }
@@ -188,9 +188,9 @@
     }
 
     /// Takes a note of another entry; `interval` is the time between two of them.
-    pub fn heard(&self, mut note: Note, lease: Duration, interval: Duration) {
+    pub fn heard(&self, mut note: EntryUpdate, lease: Duration, interval: Duration) {
         let from = note.control;
-        let told = note.told;
+        let told = note.has_lists;
         let agents = std::mem::take(&mut note.agents);
         let replicas = std::mem::take(&mut note.replicas);
         let rollouts = std::mem::take(&mut note.rollouts);
@@ -222,7 +222,7 @@
     }
 
     /// Takes the agents that have joined a sibling.
-    fn take_agents(&self, from: SocketAddr, agents: Vec<AgentDigest>, lease: Duration) {
+    fn take_agents(&self, from: SocketAddr, agents: Vec<AgentStatus>, lease: Duration) {
         let mut all = write(&self.local);
         for known in all.values_mut() {
             known.told_by.remove(&from);
@@ -304,7 +304,9 @@
 
     /// State of the own lists that another entry last took; 0 where it took none.
     pub fn taken_by(&self, addr: SocketAddr) -> u64 {
-        read(&self.entries).get(&addr).map_or(0, |e| e.note.seen)
+        read(&self.entries)
+            .get(&addr)
+            .map_or(0, |e| e.note.applied_state)
     }
 
     /// Other entries of the own domain that are up.
@@ -320,11 +322,11 @@
     }
 
     /// Agents that have joined here.
-    pub fn digests(&self) -> Vec<AgentDigest> {
+    pub fn digests(&self) -> Vec<AgentStatus> {
         let all = read(&self.local);
         let joined = all.values().filter(|known| known.seats > 0);
         joined
-            .map(|known| AgentDigest {
+            .map(|known| AgentStatus {
                 info: known.upstream.info.clone(),
                 beat: known.upstream.last_beat(),
             })
@@ -415,7 +417,7 @@
     }
 
     /// Takes what a sibling tells of an agent; one that joined here is known better.
-    fn told(&self, beat: Beat, lease: Duration) {
+    fn told(&self, beat: Heartbeat, lease: Duration) {
         match self.seats {
             0 => drop(self.upstream.beat(beat, lease)),
             _ if beat.leaving => self.upstream.mark_leaving(),
--- a/crates/entry/src/membership/links.rs
+++ b/crates/entry/src/membership/links.rs
@@ -15,10 +15,10 @@
 use base::{Digest, DomainName, Map, Revision, Set, rendezvous};
 use log::{debug, info, warn};
 use rand::seq::IteratorRandom;
-use table::{Edition, Fault, Patch, Refused};
+use table::{Edition, Fault, Patch, PatchError};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
-use wire::{Claim, Claimed, Link, WireError};
+use wire::{Claim, ClaimOutcome, Link, WireError};
 
 use crate::Entry;
 use crate::membership::control::own_note;
@@ -90,7 +90,7 @@
     /// Claims.
     pub claims: Vec<Claim>,
     /// Takes the results.
-    pub tx: oneshot::Sender<Vec<Claimed>>,
+    pub tx: oneshot::Sender<Vec<ClaimOutcome>>,
 }
 
 type Live = Rc<RefCell<Map<SocketAddr, Rc<Link>>>>;
@@ -217,16 +217,16 @@
     };
     let note = link.exchange(&own).await?;
     entry.book.add(&note.entries);
-    let fresh = note.fresh;
+    let fresh = note.freshness;
     if let Some(confirmed) = asked
         .checked_sub(fresh.age)
-        .filter(|_| fresh.age < wire::NEVER)
+        .filter(|_| fresh.age < wire::NEVER_CONFIRMED)
     {
         entry.force.confirm(fresh.revision, confirmed);
     }
     let domain = note.domain.clone();
     entry.fleet.heard(note, entry.lease(), interval(entry));
-    let view = entry.force.view();
+    let view = entry.force.current();
     match fresh.revision {
         theirs if theirs < view.edition.revision => link.offer(&view.edition).await?,
         theirs if theirs > view.edition.revision => fetch(entry, link).await?,
@@ -265,11 +265,11 @@
 /// Takes an edition if it is newer, whoever brought it; `false` where its base isn't known here.
 pub fn follow(entry: &Entry, patch: Patch) -> bool {
     let (revision, author) = (patch.revision, patch.author.clone());
-    match entry.force.follow(patch) {
+    match entry.force.apply_patch(patch) {
         Ok(true) => info!(target: PART, "{PART}: revision {revision} by {author} is in force"),
         Ok(false) => {}
-        Err(Refused::Base) => return false,
-        Err(Refused::Faults(faults)) => misfit(revision, &faults),
+        Err(PatchError::UnknownBase) => return false,
+        Err(PatchError::Faults(faults)) => misfit(revision, &faults),
     }
     true
 }
@@ -304,6 +304,6 @@
         Some(link) => link.claim(&job.claims, within).await.ok(),
         None => Some(entry.claims.commit(job.claims.clone()).await),
     };
-    let unknown = || vec![Claimed::Unknown; job.claims.len()];
+    let unknown = || vec![ClaimOutcome::Unknown; job.claims.len()];
     let _ = job.tx.send(results.unwrap_or_else(unknown));
 }
--- a/crates/entry/src/membership/upstream.rs
+++ b/crates/entry/src/membership/upstream.rs
@@ -7,7 +7,7 @@
 
 use base::{DomainName, Incarnation, Map, Model, Revision, VmId};
 use table::Version;
-use wire::{AgentInfo, Beat, Holding};
+use wire::{AgentInfo, Heartbeat, Holding};
 
 /// An upstream.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
     }
 
     /// Takes a heartbeat; says whether versions, or whether it is leaving, changed.
-    pub fn beat(&self, beat: Beat, lease: Duration) -> bool {
+    pub fn beat(&self, beat: Heartbeat, lease: Duration) -> bool {
         let mut c = self.condition();
         let now = clock::now();
         c.lease_until = now + lease;
@@ -91,9 +91,9 @@
     }
 
     /// The last heartbeat, as a sibling is told of it.
-    pub fn last_beat(&self) -> Beat {
+    pub fn last_beat(&self) -> Heartbeat {
         let c = self.condition();
-        Beat {
+        Heartbeat {
             revision: c.revision,
             running: c.reported,
             leaving: c.leaving,
--- a/crates/entry/src/poll.rs
+++ b/crates/entry/src/poll.rs
@@ -42,7 +42,7 @@
         metrics::gauge!("driftnotch_table_revision").set(entry.force.revision() as f64);
         let age = entry
             .force
-            .age()
+            .confirmation_age()
             .map_or(f64::INFINITY, |age| age.as_secs_f64());
         metrics::gauge!("driftnotch_table_age_seconds").set(age);
         tokio::time::sleep(jittered(entry.cfg.table_poll)).await;
--- a/crates/entry/src/route/attempt.rs
+++ b/crates/entry/src/route/attempt.rs
@@ -57,7 +57,7 @@
             upstream.failed(entry.cfg.eject_failures, entry.cfg.eject_time);
             return match e {
                 SendError::NotSent(..) => Attempt::NotSent(e.to_string()),
-                SendError::Slow(..) if call.remaining().is_zero() => Attempt::Late,
+                SendError::TimedOut(..) if call.remaining().is_zero() => Attempt::Late,
                 _ => Attempt::Lost(e.to_string()),
             };
         }
@@ -151,7 +151,7 @@
     read_body(body, limit, call.remaining())
         .await
         .map_err(|e| match e {
-            BodyError::Slow(_) => Attempt::Late,
+            BodyError::TimedOut(_) => Attempt::Late,
             e => Attempt::Lost(e.to_string()),
         })
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -10,11 +10,11 @@
 use log::info;
 use settings::EntryCfg;
 use store::{Kv, Members, Tables};
-use table::Force;
+use table::ActiveTable;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
-use web::{Bounds, Client, Dial, Stop};
-use wire::Claimed;
+use web::{Client, DialOptions, ServerLimits, StopSignal};
+use wire::ClaimOutcome;
 use wire::counted::Traffic;
 
 use crate::admission::Queue;
@@ -52,7 +52,7 @@
 pub type Render = Arc<dyn Fn() -> String + Send + Sync>;
 
 /// Runs an entry until `stop`, then lets what runs end.
-pub async fn run(cfg: EntryCfg, mut stop: Stop, render: Render) -> Result<(), EntryError> {
+pub async fn run(cfg: EntryCfg, mut stop: StopSignal, render: Render) -> Result<(), EntryError> {
     let control = bind(cfg.control, "control").await?;
     let admin = bind(cfg.upkeep.admin, "admin").await?;
     let upkeep = cfg.upkeep.clone();
@@ -64,7 +64,7 @@
     let admin_entry = entry.clone();
     let admin_server = tokio::spawn(web::serve(
         admin,
-        Bounds::internal(),
+        ServerLimits::internal(),
         closing.clone(),
         move |req| admin::handle(admin_entry.clone(), req, render.clone()),
     ));
@@ -72,11 +72,11 @@
     let callers = bind(entry.cfg.listen, "listen").await?;
     let listen = entry.cfg.listen;
     info!(target: PART, "{PART}: {} in {} listens on {listen}", upkeep.vm, upkeep.domain);
-    let bounds = Bounds {
-        connections: upkeep.max_connections,
+    let bounds = ServerLimits {
+        max_connections: upkeep.max_connections,
         header_timeout: upkeep.header_timeout,
-        header_bytes: upkeep.max_header,
-        drain: upkeep.drain_timeout,
+        max_header_bytes: upkeep.max_header,
+        drain_timeout: upkeep.drain_timeout,
     };
     let caller_entry = entry.clone();
     let caller_server = tokio::spawn(web::serve(callers, bounds, closing, move |req| {
@@ -96,7 +96,7 @@
 /// Waits to listen for callers until requests can be sent on; a balancer meets a closed port
 /// meanwhile and asks another entry. An entry that stays without table or agents listens all the
 /// same, and says so to each caller.
-async fn until_ready(entry: &Entry, stop: &Stop) {
+async fn until_ready(entry: &Entry, stop: &StopSignal) {
     while entry.readiness() != Readiness::Ready && clock::since(entry.begun) < JOIN_TIME {
         if *stop.borrow() {
             return;
@@ -132,22 +132,22 @@
                 let n = claims.len();
                 let (tx, rx) = oneshot::channel();
                 match jobs.send(ClaimJob { to, claims, tx }).await {
-                    Ok(()) => rx.await.unwrap_or_else(|_| vec![Claimed::Unknown; n]),
-                    Err(_) => vec![Claimed::Down; n],
+                    Ok(()) => rx.await.unwrap_or_else(|_| vec![ClaimOutcome::Unknown; n]),
+                    Err(_) => vec![ClaimOutcome::Unavailable; n],
                 }
             }
         };
         Entry {
-            force: Arc::new(Force::new(upkeep.domains.clone())),
+            force: Arc::new(ActiveTable::new(upkeep.domains.clone())),
             fleet: Fleet::new(upkeep.domain.clone()),
             limiter: Limiter::default(),
             queue: Queue::new(cfg.max_queue as usize),
             retries: RetryBudget::new(cfg.retry_budget),
             shares: Shares::default(),
             claims: Claims::start(kv, gather, claimer, forward),
-            client: Client::new(Dial {
+            client: Client::new(DialOptions {
                 timeout: cfg.connect_timeout,
-                keep: true,
+                keep_alive: true,
                 source: upkeep.source,
             }),
             telemetry: Arc::new(Telemetry::new(bounds)),
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use log::debug;
-use table::{InForce, Row};
+use table::{ActiveEdition, Row};
 use web::{Request, Response};
 
 use crate::Entry;
@@ -28,7 +28,7 @@
             return refuse(&entry, &id, &labels, refusal);
         }
     };
-    let view = entry.force.view();
+    let view = entry.force.current();
     let row = match choose_row(&entry, &view, &call) {
         Ok(row) => row,
         Err(refusal) => {
@@ -58,10 +58,10 @@
 
 /// The row a call is pinned to: permitted here, within its hold, and by share among those that
 /// an upstream has ready.
-fn choose_row<'a>(entry: &Entry, view: &'a InForce, call: &Call) -> Result<&'a Row, Refusal> {
+fn choose_row<'a>(entry: &Entry, view: &'a ActiveEdition, call: &Call) -> Result<&'a Row, Refusal> {
     let domains = &entry.cfg.upkeep.domains;
     let domain = &entry.cfg.upkeep.domain;
-    if entry.force.age().is_none() {
+    if entry.force.confirmation_age().is_none() {
         return Err(Refusal::NoTable);
     }
     let named: Vec<&Row> = view
@@ -86,7 +86,7 @@
     }
     let held: Vec<&Row> = permitted
         .into_iter()
-        .filter(|row| entry.force.holds(row))
+        .filter(|row| entry.force.may_serve(row))
         .collect();
     if held.is_empty() {
         return Err(Refusal::HoldLapsed(call.model.clone()));
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -77,7 +77,7 @@
         .increment(1);
         if !own_fault {
             let served = outcome == Outcome::Done;
-            self.note(labels, Event::Ended { served });
+            self.note(labels, Event::Completed { served });
         }
     }
 
@@ -90,7 +90,7 @@
         )
         .record(after.as_secs_f64());
         let late = after > self.bounds.first_token;
-        self.note(labels, Event::First { late });
+        self.note(labels, Event::FirstToken { late });
     }
 
     /// Notes the mean time between the tokens of a stream.
@@ -105,13 +105,13 @@
     pub fn history(&self, domain: &str) -> EntryHistory {
         EntryHistory {
             domain: domain.to_owned(),
-            series: self.lock().tell(self.minute()),
+            series: self.lock().snapshot(self.minute()),
         }
     }
 
     fn note(&self, labels: &Labels, event: Event) {
         self.lock()
-            .note(self.minute(), &labels.row, &labels.workspace, event);
+            .record(self.minute(), &labels.row, &labels.workspace, event);
     }
 
     fn minute(&self) -> u64 {
--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -13,7 +13,7 @@
 use log::{debug, warn};
 use tokio::sync::Notify;
 use tokio::sync::watch;
-use web::{Client, Dial, Request};
+use web::{Client, DialOptions, Request};
 
 use crate::Cx;
 
@@ -45,7 +45,7 @@
             denials: Mutex::new(DenialPolicy::new(config_time)),
             over: watch::Sender::new(true),
             store,
-            client: Client::new(Dial::within(ASK_TIMEOUT)),
+            client: Client::new(DialOptions::with_timeout(ASK_TIMEOUT)),
         }
     }
 
--- a/crates/gateway/src/drain.rs
+++ b/crates/gateway/src/drain.rs
@@ -59,7 +59,7 @@
 fn started(domain: &str, revision: Revision, known: &Domains) {
     info!(target: PART, "{PART}: event=started domain={domain} revision={revision}");
     gauge(domain, 1.0);
-    if known.names().next().is_some() && !known.has(domain) {
+    if known.names().next().is_some() && !known.contains(domain) {
         let hint = base::nearest::hint(domain, known.names().map(String::as_str));
         warn!(target: PART, "{PART}: event=unknown_domain domain={domain} remedy=\"no failure domain has this name{hint}\"");
     }
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use base::{LifeId, Map, Set};
+use base::{Map, Set, UpstreamIncarnation};
 use beacon::RateLimitUpdate;
 use decide::back_off;
 use decide::rate_limit::RateLimit;
@@ -42,11 +42,11 @@
 struct State {
     rate_limits: RateLimits,
     /// Upstreams that are draining, and when they first said so.
-    draining: Map<LifeId, Instant>,
+    draining: Map<UpstreamIncarnation, Instant>,
     /// Ends of back-offs that upstreams asked of this gateway.
-    back_offs: Map<LifeId, Instant>,
+    back_offs: Map<UpstreamIncarnation, Instant>,
     /// Headers with an invalid value, and when they were last ignored.
-    ignored: Map<(LifeId, HeaderName), Instant>,
+    ignored: Map<(UpstreamIncarnation, HeaderName), Instant>,
 }
 
 impl Feedback {
@@ -117,7 +117,7 @@
     }
 
     /// Drops the feedback of upstreams that ended, and what has expired.
-    pub fn purge(&self, listed: &Set<LifeId>, now: Instant) {
+    pub fn purge(&self, listed: &Set<UpstreamIncarnation>, now: Instant) {
         let State {
             rate_limits,
             draining,
@@ -186,7 +186,7 @@
 
 impl Current<'_> {
     /// The rate limit of an upstream.
-    pub fn rate_limit(&self, life: LifeId) -> Option<RateLimit> {
+    pub fn rate_limit(&self, life: UpstreamIncarnation) -> Option<RateLimit> {
         self.0.rate_limits.of(life)
     }
 
@@ -196,12 +196,12 @@
     }
 
     /// End of the back-off that an upstream asked of this gateway; it may be over.
-    pub fn back_off_until(&self, life: LifeId) -> Option<Instant> {
+    pub fn back_off_until(&self, life: UpstreamIncarnation) -> Option<Instant> {
         self.0.back_offs.get(&life).copied()
     }
 
     /// Whether an answer of an upstream said that it is draining.
-    pub fn is_draining(&self, life: LifeId) -> bool {
+    pub fn is_draining(&self, life: UpstreamIncarnation) -> bool {
         self.0.draining.contains_key(&life)
     }
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -12,7 +12,7 @@
 use beacon::{Beacon, EngineStatus, Holding, LoadUpdate, Msg, RateLimitUpdate, SuspectUpdate};
 use log::{debug, warn};
 use mirror::DocName;
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 
 use crate::announcements::Scope;
 use crate::load_updates::hello;
@@ -34,7 +34,7 @@
 
 /// Takes what others tell.
 pub(crate) async fn listen(cx: Arc<Cx>, beacon: Beacon) {
-    let client = Client::new(Dial::within(COPY_TIMEOUT));
+    let client = Client::new(DialOptions::with_timeout(COPY_TIMEOUT));
     loop {
         let (msg, from) = beacon.recv().await;
         match msg {
--- a/crates/gateway/src/handle.rs
+++ b/crates/gateway/src/handle.rs
@@ -219,8 +219,8 @@
         debug!(target: PART, "{PART}: event=body_failed path={} why=\"{e}\"", head.uri.path());
         match e {
             BodyError::TooLarge(limit) => Refusal::TooLarge(limit),
-            BodyError::Slow(_) => Refusal::SlowBody,
-            BodyError::Broken(_) | BodyError::Cut(_) => Refusal::BrokenBody,
+            BodyError::TimedOut(_) => Refusal::SlowBody,
+            BodyError::Broken(_) | BodyError::Interrupted(_) => Refusal::BrokenBody,
         }
     })
 }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use base::{DomainName, LifeId, Map, Revision, Set};
+use base::{DomainName, Map, Revision, Set, UpstreamIncarnation};
 use beacon::EngineStatus;
 use catalog::ServiceName;
 use log::info;
@@ -174,7 +174,7 @@
     }
 
     /// Lives of all upstreams.
-    pub fn incarnations(&self) -> Set<LifeId> {
+    pub fn incarnations(&self) -> Set<UpstreamIncarnation> {
         let state = self.state();
         state
             .entries
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use base::{LifeId, Map, Set};
+use base::{Map, Set, UpstreamIncarnation};
 use beacon::RateLimitUpdate;
 use decide::rate_limit::RateLimit;
 use log::info;
@@ -48,12 +48,12 @@
 /// Limits by incarnation; upstreams that are left out have none.
 #[derive(Debug, Default)]
 pub(crate) struct RateLimits {
-    known: Map<LifeId, Known>,
+    known: Map<UpstreamIncarnation, Known>,
 }
 
 impl RateLimits {
     /// The limit of an upstream.
-    pub(crate) fn of(&self, life: LifeId) -> Option<RateLimit> {
+    pub(crate) fn of(&self, life: UpstreamIncarnation) -> Option<RateLimit> {
         let known = self.known.get(&life)?;
         let per_1000_s = known.per_1000_s?;
         Some(RateLimit {
@@ -167,7 +167,12 @@
     }
 
     /// Drops limits that were lifted a while ago, and after `unlisted_time` those of upstreams that aren't listed.
-    pub(crate) fn forget(&mut self, listed: &Set<LifeId>, unlisted_time: Duration, now: Instant) {
+    pub(crate) fn forget(
+        &mut self,
+        listed: &Set<UpstreamIncarnation>,
+        unlisted_time: Duration,
+        now: Instant,
+    ) {
         self.known.retain(|life, known| {
             let age = now.saturating_duration_since(known.at);
             match known.per_1000_s {
@@ -179,7 +184,7 @@
 }
 
 impl Known {
-    fn update(&self, life: LifeId, now: Instant) -> RateLimitUpdate {
+    fn update(&self, life: UpstreamIncarnation, now: Instant) -> RateLimitUpdate {
         RateLimitUpdate {
             incarnation: life,
             per_1000_s: self.per_1000_s,
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -246,7 +246,7 @@
         self.stream.source.slot.trial = None;
         self.fail_over().await.map_err(|why| {
             self.record.outcome = RequestOutcome::Cut(why);
-            BodyError::Cut(why)
+            BodyError::Interrupted(why)
         })
     }
 
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -11,7 +11,7 @@
 use hyper_util::server::graceful::{GracefulShutdown, Watcher};
 use log::{info, warn};
 use tokio::net::{TcpListener, TcpStream};
-use web::{Bounds, Request, Response, text};
+use web::{Request, Response, ServerLimits, text};
 
 use crate::Cx;
 use crate::confirm::confirm_before_serving;
@@ -49,7 +49,7 @@
     let ready_cx = cx.clone();
     tokio::spawn(web::serve(
         ready_listener,
-        Bounds::internal(),
+        ServerLimits::internal(),
         internal_stop.clone(),
         move |_| {
             let res = ready_response(&ready_cx);
@@ -59,7 +59,7 @@
     let replica_cx = cx.clone();
     tokio::spawn(web::serve(
         replica_listener,
-        Bounds::internal(),
+        ServerLimits::internal(),
         internal_stop,
         move |req| {
             let cx = replica_cx.clone();
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use base::{Fingerprint, LifeId, Set};
+use base::{Fingerprint, Set, UpstreamIncarnation};
 use beacon::SuspectUpdate;
 use decide::quarantine::{Decision, Isolation, Quarantine, UpstreamExit};
 use log::info;
@@ -168,7 +168,7 @@
 
     /// Takes which upstreams live: those that aren't among them have ended, also under requests whose answer
     /// was lost before.
-    pub fn confirm_exits(&self, lives: &Set<LifeId>) {
+    pub fn confirm_exits(&self, lives: &Set<UpstreamIncarnation>) {
         for ended in self.unconfirmed.take_confirmed(lives, clock::now()) {
             self.note_end(ended.request, ended.upstream, ended.exit, "-", "-");
         }
@@ -238,13 +238,17 @@
 
     /// Takes what another gateway tells; `scope` says whom what is news is passed on to, if anyone. Gives the
     /// lives of upstreams that ended just now, as far as that is news.
-    pub fn receive(&self, notes: Vec<SuspectUpdate>, scope: Option<Scope>) -> Vec<LifeId> {
+    pub fn receive(
+        &self,
+        notes: Vec<SuspectUpdate>,
+        scope: Option<Scope>,
+    ) -> Vec<UpstreamIncarnation> {
         let now = clock::now();
         let mut ended = Vec::new();
         for note in notes {
             let request = note.request;
             let lately = note.exits.iter().filter(|(_, ago)| *ago < JUST_ENDED);
-            let lately: Vec<LifeId> = lately.map(|(life, _)| *life).collect();
+            let lately: Vec<UpstreamIncarnation> = lately.map(|(life, _)| *life).collect();
             let mut quarantine = self.quarantine();
             let was_held = quarantine.is_quarantined(&request, now);
             let is_news = quarantine.merge(request, case_from_update(note, now));
--- a/crates/gateway/src/unconfirmed.rs
+++ b/crates/gateway/src/unconfirmed.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use base::{Fingerprint, LifeId, Set};
+use base::{Fingerprint, Set, UpstreamIncarnation};
 use decide::quarantine::UpstreamExit;
 
 /// Time within which the platform's list shows an exit that a probe didn't show: an entry lapses after three
@@ -51,7 +51,7 @@
     /// old.
     pub(crate) fn take_confirmed(
         &self,
-        listed: &Set<LifeId>,
+        listed: &Set<UpstreamIncarnation>,
         now: Instant,
     ) -> VecDeque<UnconfirmedExit> {
         let mut exits = self.exits();
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use base::{DomainName, Fingerprint, LifeId, Model, Revision};
+use base::{DomainName, Fingerprint, Model, Revision, UpstreamIncarnation};
 use beacon::{EngineStatus, Holding, Load};
 use catalog::{ServiceName, StartTime, WeightsVersion};
 use decide::outlier_detection::{OutcomeCounts, OutcomeTracker};
@@ -71,7 +71,7 @@
     matches!((start_time, later), (Some(start), Some(later)) if start < later)
 }
 
-fn incarnation(instance: &str, start_time: Option<StartTime>) -> LifeId {
+fn incarnation(instance: &str, start_time: Option<StartTime>) -> UpstreamIncarnation {
     let start_time = start_time.map_or(0, |start| start.wrapping_add(1));
     Fingerprint::of(&[instance.as_bytes(), &start_time.to_le_bytes()]).short()
 }
@@ -186,7 +186,7 @@
     /// Start time of the process, if known.
     pub start_time: Option<StartTime>,
     /// Incarnation: the same number at all gateways, and another one after each restart.
-    pub incarnation: LifeId,
+    pub incarnation: UpstreamIncarnation,
     state: Mutex<State>,
 }
 
--- a/crates/lab/src/commands/claims.rs
+++ b/crates/lab/src/commands/claims.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use store::Kv;
 use tokio::sync::watch;
-use web::Dial;
+use web::DialOptions;
 
 use super::finish;
 use crate::LabError;
@@ -62,7 +62,7 @@
     });
     let kv = Kv::new(
         layout.platform().table,
-        Dial::within(Duration::from_secs(2)),
+        DialOptions::with_timeout(Duration::from_secs(2)),
     );
     let mut rows = Vec::new();
     for rate in RATES {
--- a/crates/lab/src/commands/control.rs
+++ b/crates/lab/src/commands/control.rs
@@ -14,7 +14,7 @@
 use store::{Kv, Tables};
 use table::Version;
 use tokio::sync::mpsc;
-use web::{Client, Dial, read_body};
+use web::{Client, DialOptions, read_body};
 use wire::Holding;
 
 use super::finish;
@@ -74,7 +74,7 @@
     layout.domains.truncate(1);
     let tables = Tables::new(Kv::new(
         layout.platform().table,
-        Dial::within(Duration::from_secs(2)),
+        DialOptions::with_timeout(Duration::from_secs(2)),
     ));
     apply(&tables, rows, 0).await?;
     let memory_before = own_memory();
@@ -218,7 +218,7 @@
 /// Waits until every entry has every agent.
 async fn settle(layout: &Layout, agents: usize) -> Result<(), LabError> {
     let begun = Instant::now();
-    let client = Client::new(Dial::within(Duration::from_secs(1)));
+    let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     for e in layout.entry_vms() {
         loop {
             let status: Option<entry::admin::Status> =
@@ -247,7 +247,7 @@
 
 /// What the entries have used, by their metrics.
 async fn used(layout: &Layout) -> Result<Used, LabError> {
-    let client = Client::new(Dial::within(Duration::from_secs(1)));
+    let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let mut sum = Used::default();
     for e in layout.entry_vms() {
         let req = hyper::Request::builder().uri("/metrics").body(web::empty());
--- a/crates/lab/src/commands/ready.rs
+++ b/crates/lab/src/commands/ready.rs
@@ -9,7 +9,7 @@
 use lab::standin::origin::OriginStats;
 use pico_args::Arguments;
 use serde::Serialize;
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 
 use super::{deployment, duration, finish};
 use crate::LabError;
@@ -63,7 +63,7 @@
     took: Duration,
     json: bool,
 ) -> Result<(), LabError> {
-    let client = Client::new(Dial::within(Duration::from_secs(1)));
+    let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let stats: Option<OriginStats> = get(&client, layout.platform().origin, "/stats").await;
     let ready = Ready {
         replicas,
@@ -79,7 +79,7 @@
 
 /// Replicas live, and the mean share of chunks verified.
 async fn progress(layout: &Layout, version: Digest) -> (usize, u64) {
-    let client = Client::new(Dial::within(Duration::from_secs(1)));
+    let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let version = version.to_string();
     let mut seen: std::collections::BTreeMap<String, (bool, u16)> = Default::default();
     for e in layout.entry_vms() {
--- a/crates/lab/src/commands/rollout.rs
+++ b/crates/lab/src/commands/rollout.rs
@@ -15,7 +15,7 @@
 use pico_args::Arguments;
 use serde::Serialize;
 use tokio::task::JoinSet;
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 
 use super::{duration, finish};
 use crate::LabError;
@@ -345,9 +345,9 @@
         let begun = Instant::now();
         let mut pulls = JoinSet::new();
         for e in &self.deployment.engines {
-            let dial = Dial {
+            let dial = DialOptions {
                 timeout: PATIENCE,
-                keep: true,
+                keep_alive: true,
                 source: Some(e.ip()),
             };
             let origin = store::Origin::new(self.deployment.layout.platform().origin, dial);
@@ -386,7 +386,7 @@
             .map(|e| e.listen)
             .collect();
         tokio::spawn(async move {
-            let client = Client::new(Dial::within(Duration::from_secs(1)));
+            let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
             let mut sent = JoinSet::new();
             let mut tick = tokio::time::interval(Duration::from_secs_f64(1.0 / LIVE_RATE));
             let mut n = 0;
--- a/crates/lab/src/commands/route.rs
+++ b/crates/lab/src/commands/route.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
 use tokio::task::JoinSet;
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 
 use super::{duration, finish};
 use crate::LabError;
@@ -208,7 +208,7 @@
     seed: u64,
     name: &str,
 ) -> Vec<(Ask, Reply)> {
-    let client = Client::new(Dial::within(Duration::from_secs(1)));
+    let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let entries: Vec<_> = deployment
         .layout
         .entry_vms()
--- a/crates/lab/src/commands/send.rs
+++ b/crates/lab/src/commands/send.rs
@@ -12,7 +12,7 @@
 use lab::standin::service::CallRecord;
 use pico_args::Arguments;
 use serde::Serialize;
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 
 use super::{deployment, finish};
 use crate::LabError;
@@ -88,7 +88,7 @@
 
 /// One caller at one entry: a round of every kind, again until the time is up.
 async fn caller(e: EntryVm, model: String, until: Instant, with_service: bool) -> Vec<Sent> {
-    let client = Client::new(Dial::within(Duration::from_secs(1)));
+    let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let mut sent = Vec::new();
     let mut round = 0;
     loop {
@@ -168,7 +168,7 @@
 
 /// How often each marker ran, by the ledgers of all upstreams.
 async fn runs(layout: &Layout) -> BTreeMap<String, u32> {
-    let client = Client::new(Dial::within(Duration::from_secs(1)));
+    let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let mut runs = BTreeMap::new();
     for u in layout.upstream_vms() {
         let markers: Vec<String> = match u.service {
--- a/crates/lab/src/commands/wire.rs
+++ b/crates/lab/src/commands/wire.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 use ::wire::counted::Traffic;
-use ::wire::{AgentInfo, Beat, Link};
+use ::wire::{AgentInfo, Heartbeat, Link};
 use lab::deployment::{Deployment, Plan};
 use lab::standin::engine::Behaviour;
 use pico_args::Arguments;
 use table::Edition;
 use tokio::sync::{oneshot, watch};
-use web::{Client, Dial, read_body};
+use web::{Client, DialOptions, read_body};
 
 use super::finish;
 use crate::LabError;
@@ -94,18 +94,18 @@
     let traffic = Traffic::default();
     let link = Link::connect(to, None, &traffic).await?;
     let seat = link.join(&info(to)).await?;
-    seat.beat(&beat()).await?;
+    seat.heartbeat(&beat()).await?;
     let bytes = |t: &Traffic| t.bytes().0 + t.bytes().1;
     let before = bytes(&traffic);
     let begun = Instant::now();
     for _ in 0..SMALL {
-        seat.beat(&beat()).await?;
+        seat.heartbeat(&beat()).await?;
     }
     let one_by_one = begun.elapsed();
     let each = (bytes(&traffic) - before) / SMALL as u64;
     let begun = Instant::now();
     for _ in 0..SMALL / AT_ONCE {
-        let beats = (0..AT_ONCE).map(|_| async { seat.beat(&beat()).await });
+        let beats = (0..AT_ONCE).map(|_| async { seat.heartbeat(&beat()).await });
         futures_util::future::try_join_all(beats).await?;
     }
     let at_once = begun.elapsed();
@@ -127,7 +127,7 @@
 }
 
 async fn by_http(to: SocketAddr) -> Result<Times, LabError> {
-    let client = Client::new(Dial::within(Duration::from_secs(1)));
+    let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let post = async |buf: bytes::Bytes| {
         let mut req = hyper::Request::new(web::full(buf));
         *req.method_mut() = hyper::Method::POST;
@@ -174,8 +174,8 @@
     }
 }
 
-fn beat() -> Beat {
-    Beat {
+fn beat() -> Heartbeat {
+    Heartbeat {
         revision: 12,
         running: 3,
         leaving: false,
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -13,7 +13,7 @@
 use settings::Settings;
 use store::{Kv, Tables};
 use tokio::sync::watch;
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 use weights::Manifest;
 
 use crate::caller::{Ask, send};
@@ -127,7 +127,7 @@
         Ok(deployment)
     }
 
-    async fn start_entries(&self, plan: &Plan, stop: &web::Stop) -> Result<(), DeployError> {
+    async fn start_entries(&self, plan: &Plan, stop: &web::StopSignal) -> Result<(), DeployError> {
         for e in self.layout.entry_vms() {
             let bound = self.layout.bound(e.control);
             self.board.relay(e.control, bound).await?;
@@ -142,7 +142,11 @@
         Ok(())
     }
 
-    async fn start_agents(&mut self, plan: &Plan, stop: &web::Stop) -> Result<(), DeployError> {
+    async fn start_agents(
+        &mut self,
+        plan: &Plan,
+        stop: &web::StopSignal,
+    ) -> Result<(), DeployError> {
         for vm in self.layout.upstream_vms().into_iter().take(plan.vms) {
             if let Some((rate, _)) = plan.rates {
                 self.board.pace(vm.listen.ip(), rate, rate);
@@ -167,7 +171,7 @@
     pub fn publish(&self, seed: u64, size: usize, chunk: u32) -> Result<Digest, DeployError> {
         let mut weights = vec![0u8; size];
         StdRng::seed_from_u64(seed).fill(&mut weights[..]);
-        let manifest = Manifest::of(weights.as_slice(), chunk).map_err(failed)?;
+        let manifest = Manifest::from_reader(weights.as_slice(), chunk).map_err(failed)?;
         let version = manifest.digest();
         let key = format!("objects/manifest/{version}");
         let buf = Bytes::from(manifest.encode());
@@ -179,7 +183,10 @@
     /// Puts rows in force, each permitted everywhere.
     pub async fn apply(&self, rows: &[(&str, Digest)]) -> Result<(), DeployError> {
         let table = self.layout.platform_bound().table;
-        let tables = Tables::new(Kv::new(table, Dial::within(Duration::from_secs(2))));
+        let tables = Tables::new(Kv::new(
+            table,
+            DialOptions::with_timeout(Duration::from_secs(2)),
+        ));
         let places: Vec<String> = self.layout.domains.iter().map(|(d, _)| d.clone()).collect();
         let places = places.join(";");
         let mut csv = "model,version,places,share,limits,priority,hold\n".to_owned();
@@ -220,7 +227,7 @@
 
     /// Waits until all entries serve a model.
     pub async fn until_live(&self, model: &str) -> Result<(), DeployError> {
-        let client = Client::new(Dial::within(Duration::from_secs(1)));
+        let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
         let begun = Instant::now();
         for e in self.layout.entry_vms() {
             while send(&client, e.listen, &Ask::completion(model, "probe"))
--- a/crates/lab/src/standin/engine.rs
+++ b/crates/lab/src/standin/engine.rs
@@ -16,7 +16,7 @@
 use hyper::body::Frame;
 use hyper::{HeaderMap, Method};
 use serde::{Deserialize, Serialize};
-use web::{Request, Response, Stop, read_body};
+use web::{Request, Response, StopSignal, read_body};
 
 use super::fault::FaultBox;
 use super::platform::admin;
@@ -114,7 +114,7 @@
     pub async fn start(
         addr: SocketAddr,
         behaviour: Behaviour,
-        stop: Stop,
+        stop: StopSignal,
     ) -> std::io::Result<Engine> {
         let engine = Engine {
             behaviour,
--- a/crates/lab/src/standin/fault.rs
+++ b/crates/lab/src/standin/fault.rs
@@ -90,7 +90,8 @@
 
 /// An answer that breaks off after its head.
 pub fn broken() -> Response {
-    let frames =
-        futures_util::stream::iter([Err::<Frame<bytes::Bytes>, _>(BodyError::Cut("fault"))]);
+    let frames = futures_util::stream::iter([Err::<Frame<bytes::Bytes>, _>(
+        BodyError::Interrupted("fault"),
+    )]);
     hyper::Response::new(BodyExt::boxed_unsync(StreamBody::new(frames)))
 }
--- a/crates/lab/src/standin/mod.rs
+++ b/crates/lab/src/standin/mod.rs
@@ -11,15 +11,20 @@
 use std::net::SocketAddr;
 
 use tokio::net::TcpListener;
-use web::{Bounds, Request, Response, Stop};
+use web::{Request, Response, ServerLimits, StopSignal};
 
 /// Serves a stand-in on an address until `stop`.
-pub async fn serve<H, F>(addr: SocketAddr, stop: Stop, handler: H) -> std::io::Result<()>
+pub async fn serve<H, F>(addr: SocketAddr, stop: StopSignal, handler: H) -> std::io::Result<()>
 where
     H: Fn(Request) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let listener = TcpListener::bind(addr).await?;
-    tokio::spawn(web::serve(listener, Bounds::internal(), stop, handler));
+    tokio::spawn(web::serve(
+        listener,
+        ServerLimits::internal(),
+        stop,
+        handler,
+    ));
     Ok(())
 }
--- a/crates/lab/src/standin/platform.rs
+++ b/crates/lab/src/standin/platform.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use store::Unless;
 use store::kv::MAX_VALUE;
-use web::{Request, Response, Stop, read_body};
+use web::{Request, Response, StopSignal, read_body};
 
 use super::fault::{FaultBox, broken};
 use super::kv::Store;
@@ -78,7 +78,11 @@
 
 impl Platform {
     /// Starts the platform; the origin's link carries `rate` bytes a second.
-    pub async fn start(addrs: Addrs, rate: Option<u64>, stop: Stop) -> std::io::Result<Platform> {
+    pub async fn start(
+        addrs: Addrs,
+        rate: Option<u64>,
+        stop: StopSignal,
+    ) -> std::io::Result<Platform> {
         let platform = Platform {
             table: Service::default(),
             objects: Service::default(),
--- a/crates/lab/src/standin/service.rs
+++ b/crates/lab/src/standin/service.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use web::{Request, Response, Stop, read_body};
+use web::{Request, Response, StopSignal, read_body};
 
 use super::fault::FaultBox;
 use super::platform::admin;
@@ -31,7 +31,7 @@
 
 impl PlainService {
     /// Starts a service.
-    pub async fn start(addr: SocketAddr, stop: Stop) -> std::io::Result<PlainService> {
+    pub async fn start(addr: SocketAddr, stop: StopSignal) -> std::io::Result<PlainService> {
         let service = PlainService::default();
         let serving = service.clone();
         super::serve(addr, stop, move |req| handle(serving.clone(), req)).await?;
--- a/crates/loader/src/rollout.rs
+++ b/crates/loader/src/rollout.rs
@@ -9,7 +9,7 @@
 use log::{info, warn};
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinHandle, JoinSet};
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 
 use crate::Cx;
 use crate::api::{ApiError, EngineState, OrderResult, OriginVersion, SwitchOrder};
@@ -79,7 +79,7 @@
 
 /// Rolls out released versions to the engine, until the process ends.
 pub(crate) async fn roll_out(cx: Arc<Cx>, state: watch::Receiver<Option<EngineState>>) {
-    let client = Client::new(Dial::within(cx.cfg.chunk_timeout));
+    let client = Client::new(DialOptions::with_timeout(cx.cfg.chunk_timeout));
     let mut known = cx.known.subscribe();
     let mut configured = cx.catalog.clone();
     let mut rollout = Rollout {
--- a/crates/loader/src/run.rs
+++ b/crates/loader/src/run.rs
@@ -7,7 +7,7 @@
 use log::{info, warn};
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
-use web::Bounds;
+use web::ServerLimits;
 
 use crate::chunk_set::ChunkSets;
 use crate::peers::{Peers, UploadLimits, reply, serve};
@@ -47,7 +47,7 @@
     let handler = move |req| serve(serving.clone(), limits.clone(), req);
     tokio::spawn(web::serve(
         listener,
-        Bounds::internal(),
+        ServerLimits::internal(),
         cx.stop.clone(),
         handler,
     ));
--- a/crates/mirror/src/fetch.rs
+++ b/crates/mirror/src/fetch.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use log::warn;
-use web::{Client, empty, read_steadily};
+use web::{Client, empty, read_with_idle_timeout};
 
 use crate::delta::decompress;
 use crate::serve::{CompressedBody, ReplicaResponse};
@@ -98,7 +98,7 @@
     if !res.status().is_success() {
         return Err(FetchError(format!("{from} answered {}", res.status())));
     }
-    let buf = read_steadily(res.into_body(), MAX_BODY_BYTES, timeout)
+    let buf = read_with_idle_timeout(res.into_body(), MAX_BODY_BYTES, timeout)
         .await
         .map_err(|e| FetchError(e.to_string()))?;
     let replica: ReplicaResponse =
--- a/crates/mirror/tests/fetch.rs
+++ b/crates/mirror/tests/fetch.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::watch;
-use web::{Bounds, Client, Dial};
+use web::{Client, DialOptions, ServerLimits};
 
 const NAME: &str = "configuration";
 
@@ -31,16 +31,21 @@
     let (_stop, rx) = watch::channel(false);
     let (mirror, requests, sent) = <(Mirror, Arc<AtomicUsize>, Arc<AtomicUsize>)>::default();
     let (served, requested, counted) = (mirror.clone(), requests.clone(), sent.clone());
-    tokio::spawn(web::serve(listener, Bounds::internal(), rx, move |req| {
-        requested.fetch_add(1, Relaxed);
-        let (served, counted) = (served.clone(), counted.clone());
-        async move {
-            let res = mirror::serve(&served, &[NAME], &req).await;
-            let length = hyper::body::Body::size_hint(res.body()).exact();
-            counted.fetch_add(length.expect("a length") as usize, Relaxed);
-            res
-        }
-    }));
+    tokio::spawn(web::serve(
+        listener,
+        ServerLimits::internal(),
+        rx,
+        move |req| {
+            requested.fetch_add(1, Relaxed);
+            let (served, counted) = (served.clone(), counted.clone());
+            async move {
+                let res = mirror::serve(&served, &[NAME], &req).await;
+                let length = hyper::body::Body::size_hint(res.body()).exact();
+                counted.fetch_add(length.expect("a length") as usize, Relaxed);
+                res
+            }
+        },
+    ));
     Peer {
         mirror,
         addr,
@@ -61,7 +66,7 @@
 
 /// Fetches the replica of the process at an address; returns whether it was newer.
 async fn fetch_from(local: Mirror, addr: SocketAddr) -> bool {
-    let client = Client::new(Dial::within(TIMEOUT));
+    let client = Client::new(DialOptions::with_timeout(TIMEOUT));
     let fetched = mirror::fetch(&local, NAME, &client, addr, TIMEOUT).await;
     fetched.expect("a replica")
 }
--- a/crates/settings/src/role.rs
+++ b/crates/settings/src/role.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::{DomainName, Domains, VmId};
-use web::Dial;
+use web::DialOptions;
 
 use crate::value::{Value, Values};
 
@@ -42,10 +42,10 @@
 
 impl PlatformCfg {
     /// How connections to the platform are made.
-    pub fn dial(&self) -> Dial {
-        Dial {
+    pub fn dial(&self) -> DialOptions {
+        DialOptions {
             timeout: self.timeout,
-            keep: true,
+            keep_alive: true,
             source: self.source,
         }
     }
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use base::Map;
-use base::units::{parse_bytes, parse_duration, show_bytes, show_duration};
+use base::units::{format_bytes, format_duration, parse_bytes, parse_duration};
 use saphyr::{MarkedYaml, Scalar, YamlData};
 
 use crate::Kind;
@@ -162,7 +162,7 @@
         true => Ok(Value::Duration(d)),
         false => Err(format!(
             "{} is out of range; write {least} to {most}",
-            show_duration(d)
+            format_duration(d)
         )),
     }
 }
@@ -176,7 +176,7 @@
         true => Ok(Value::Number(n)),
         false => Err(format!(
             "{} is out of range; write {least} to {most}",
-            show_bytes(n)
+            format_bytes(n)
         )),
     }
 }
--- a/crates/store/src/kv.rs
+++ b/crates/store/src/kv.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::{Method, Request, StatusCode, header};
 use serde::{Deserialize, Serialize};
-use web::{Client, Dial, SendError, read_body};
+use web::{Client, DialOptions, SendError, read_body};
 
 use crate::PlatformError;
 
@@ -18,7 +18,7 @@
 
 /// Result of a conditional read.
 #[derive(Debug)]
-pub enum Got {
+pub enum ReadResult {
     /// The value is still the one with the tag given.
     Unchanged,
     /// There is no value.
@@ -81,7 +81,7 @@
 
 impl Kv {
     /// The service at an address; the dial's timeout bounds each answer, too.
-    pub fn new(addr: SocketAddr, dial: Dial) -> Kv {
+    pub fn new(addr: SocketAddr, dial: DialOptions) -> Kv {
         Kv {
             client: Client::new(dial),
             addr,
@@ -90,7 +90,7 @@
     }
 
     /// Reads a value unless it still has the tag.
-    pub async fn get(&self, path: &str, known: Option<&Tag>) -> Result<Got, PlatformError> {
+    pub async fn get(&self, path: &str, known: Option<&Tag>) -> Result<ReadResult, PlatformError> {
         let mut req = request(Method::GET, path, Bytes::new())?;
         if let Some(tag) = known {
             web::set_header(req.headers_mut(), "if-none-match", tag);
@@ -99,10 +99,10 @@
         match status {
             StatusCode::OK => {
                 let tag = web::header(&headers, "etag").unwrap_or_default();
-                Ok(Got::Value(buf, tag.to_owned()))
+                Ok(ReadResult::Value(buf, tag.to_owned()))
             }
-            StatusCode::NOT_MODIFIED => Ok(Got::Unchanged),
-            StatusCode::NOT_FOUND => Ok(Got::Absent),
+            StatusCode::NOT_MODIFIED => Ok(ReadResult::Unchanged),
+            StatusCode::NOT_FOUND => Ok(ReadResult::Absent),
             status => Err(refused(status)),
         }
     }
@@ -139,10 +139,10 @@
         match status {
             StatusCode::OK => serde_json::from_slice(&buf)
                 .map(|Committed { tags }| Ok(tags))
-                .map_err(|e| PlatformError::Garbled(e.to_string())),
+                .map_err(|e| PlatformError::InvalidResponse(e.to_string())),
             StatusCode::PRECONDITION_FAILED => serde_json::from_slice(&buf)
                 .map(|Refusal { keys }| Err(keys))
-                .map_err(|e| PlatformError::Garbled(e.to_string())),
+                .map_err(|e| PlatformError::InvalidResponse(e.to_string())),
             status => Err(refused(status)),
         }
     }
@@ -153,13 +153,13 @@
     ) -> Result<(StatusCode, hyper::HeaderMap, Bytes), PlatformError> {
         let sent = self.client.send(self.addr, req, self.timeout).await;
         let res = sent.map_err(|e| match e {
-            SendError::NotSent(..) => PlatformError::Down(e.to_string()),
-            _ => PlatformError::Lost(e.to_string()),
+            SendError::NotSent(..) => PlatformError::Unavailable(e.to_string()),
+            _ => PlatformError::ResponseLost(e.to_string()),
         })?;
         let (head, body) = res.into_parts();
         match read_body(body, MAX_VALUE, self.timeout).await {
             Ok(buf) => Ok((head.status, head.headers, buf)),
-            Err(e) => Err(PlatformError::Lost(e.to_string())),
+            Err(e) => Err(PlatformError::ResponseLost(e.to_string())),
         }
     }
 }
@@ -170,14 +170,14 @@
         .uri(path)
         .header(header::CONTENT_TYPE, "application/json")
         .body(web::full(buf))
-        .map_err(|e| PlatformError::Garbled(e.to_string()))
+        .map_err(|e| PlatformError::InvalidResponse(e.to_string()))
 }
 
 /// An answer that is neither success nor conflict; the service says it wrote nothing.
 fn refused(status: StatusCode) -> PlatformError {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            PlatformError::Down(format!("it answered {status}"))
+            PlatformError::Unavailable(format!("it answered {status}"))
         }
         status => PlatformError::Refused(status.as_u16()),
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod tables;
 
 pub use error::PlatformError;
-pub use kv::{Committed, Got, Kv, Op, Refusal, Tag, Transaction, Unless};
+pub use kv::{Committed, Kv, Op, ReadResult, Refusal, Tag, Transaction, Unless};
 pub use member::{Member, MemberRole, MemberState, Members};
 pub use objects::Objects;
 pub use origin::Origin;
--- a/crates/store/src/member.rs
+++ b/crates/store/src/member.rs
@@ -5,7 +5,7 @@
 use base::{DomainName, VmId};
 use serde::{Deserialize, Serialize};
 
-use crate::{Got, Kv, PlatformError, Tag};
+use crate::{Kv, PlatformError, ReadResult, Tag};
 
 /// What a VM is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,11 +60,11 @@
         known: Option<&Tag>,
     ) -> Result<Option<(Vec<Member>, Tag)>, PlatformError> {
         match self.kv.get("/members", known).await? {
-            Got::Unchanged => Ok(None),
-            Got::Absent => Ok(Some((Vec::new(), String::new()))),
-            Got::Value(buf, tag) => serde_json::from_slice(&buf)
+            ReadResult::Unchanged => Ok(None),
+            ReadResult::Absent => Ok(Some((Vec::new(), String::new()))),
+            ReadResult::Value(buf, tag) => serde_json::from_slice(&buf)
                 .map(|members| Some((members, tag)))
-                .map_err(|e| PlatformError::Garbled(e.to_string())),
+                .map_err(|e| PlatformError::InvalidResponse(e.to_string())),
         }
     }
 }
--- a/crates/store/src/objects.rs
+++ b/crates/store/src/objects.rs
@@ -3,7 +3,7 @@
 use base::Digest;
 use weights::Manifest;
 
-use crate::{Got, Kv, PlatformError};
+use crate::{Kv, PlatformError, ReadResult};
 
 /// Access to the manifests.
 #[derive(Debug, Clone)]
@@ -20,10 +20,10 @@
     /// The manifest of a version, checked against its digest; `None` where none is published.
     pub async fn manifest(&self, version: Digest) -> Result<Option<Manifest>, PlatformError> {
         match self.kv.get(&path(version), None).await? {
-            Got::Value(buf, _) => Manifest::decode(&buf, version)
+            ReadResult::Value(buf, _) => Manifest::decode(&buf, version)
                 .map(Some)
-                .map_err(|e| PlatformError::Garbled(e.to_string())),
-            Got::Absent | Got::Unchanged => Ok(None),
+                .map_err(|e| PlatformError::InvalidResponse(e.to_string())),
+            ReadResult::Absent | ReadResult::Unchanged => Ok(None),
         }
     }
 
--- a/crates/store/src/origin.rs
+++ b/crates/store/src/origin.rs
@@ -6,7 +6,7 @@
 use base::Digest;
 use bytes::Bytes;
 use hyper::{Method, Request, StatusCode};
-use web::{Client, Dial, SendError, read_body};
+use web::{Client, DialOptions, SendError, read_body};
 
 use crate::PlatformError;
 
@@ -20,7 +20,7 @@
 
 impl Origin {
     /// The origin at an address; the dial's timeout bounds each read and write, too.
-    pub fn new(addr: SocketAddr, dial: Dial) -> Origin {
+    pub fn new(addr: SocketAddr, dial: DialOptions) -> Origin {
         Origin {
             client: Client::new(dial),
             addr,
@@ -39,7 +39,7 @@
             .uri(path(version))
             .header("range", format!("bytes={first}-{}", end - 1))
             .body(web::empty())
-            .map_err(|e| PlatformError::Garbled(e.to_string()))?;
+            .map_err(|e| PlatformError::InvalidResponse(e.to_string()))?;
         let res = self.send(req).await?;
         match res.status() {
             StatusCode::OK | StatusCode::PARTIAL_CONTENT => {}
@@ -47,7 +47,7 @@
         }
         read_body(res.into_body(), (end - first) as usize, self.timeout)
             .await
-            .map_err(|e| PlatformError::Lost(e.to_string()))
+            .map_err(|e| PlatformError::ResponseLost(e.to_string()))
     }
 
     /// Publishes the bytes of a chunk of a version. Writing the same bytes again changes nothing.
@@ -63,7 +63,7 @@
             .uri(path(version))
             .header("content-range", format!("bytes {first}-{last}/*"))
             .body(web::full(buf))
-            .map_err(|e| PlatformError::Garbled(e.to_string()))?;
+            .map_err(|e| PlatformError::InvalidResponse(e.to_string()))?;
         let res = self.send(req).await?;
         match res.status() {
             status if status.is_success() => Ok(()),
@@ -79,8 +79,8 @@
             .send(self.addr, req, self.timeout)
             .await
             .map_err(|e| match e {
-                SendError::NotSent(..) => PlatformError::Down(e.to_string()),
-                _ => PlatformError::Lost(e.to_string()),
+                SendError::NotSent(..) => PlatformError::Unavailable(e.to_string()),
+                _ => PlatformError::ResponseLost(e.to_string()),
             })
     }
 }
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -6,7 +6,7 @@
 use base::{Revision, new_request_id, unix_ms};
 use table::Edition;
 
-use crate::{Got, Kv, Op, PlatformError, Tag, Unless};
+use crate::{Kv, Op, PlatformError, ReadResult, Tag, Unless};
 
 const CURRENT: &str = "table/current";
 
@@ -40,12 +40,12 @@
     /// The edition in force; `None` where it still has the tag given.
     pub async fn current(&self, known: Option<&Tag>) -> Result<Option<Current>, PlatformError> {
         match self.kv.get(&format!("/kv/{CURRENT}"), known).await? {
-            Got::Unchanged => Ok(None),
-            Got::Absent => Ok(Some(Current {
+            ReadResult::Unchanged => Ok(None),
+            ReadResult::Absent => Ok(Some(Current {
                 edition: Edition::initial(),
                 tag: None,
             })),
-            Got::Value(buf, tag) => Ok(Some(Current {
+            ReadResult::Value(buf, tag) => Ok(Some(Current {
                 edition: parse(&buf)?,
                 tag: Some(tag),
             })),
@@ -59,8 +59,8 @@
             .get(&format!("/kv/{}", key_of(revision)), None)
             .await?
         {
-            Got::Value(buf, _) => parse(&buf).map(Some),
-            Got::Absent | Got::Unchanged => Ok(None),
+            ReadResult::Value(buf, _) => parse(&buf).map(Some),
+            ReadResult::Absent | ReadResult::Unchanged => Ok(None),
         }
     }
 
@@ -113,7 +113,7 @@
                 Ok(Some(found)) if found.edit == edition.edit => return Ok(edition),
                 Ok(Some(_)) => return Err(PlatformError::Conflict),
                 Ok(None) => {}
-                Err(e) => last = PlatformError::Lost(e.to_string()),
+                Err(e) => last = PlatformError::ResponseLost(e.to_string()),
             }
             tokio::time::sleep(READ_BACK_PAUSE).await;
         }
@@ -135,5 +135,5 @@
 }
 
 fn parse(buf: &[u8]) -> Result<Edition, PlatformError> {
-    serde_json::from_slice(buf).map_err(|e| PlatformError::Garbled(e.to_string()))
+    serde_json::from_slice(buf).map_err(|e| PlatformError::InvalidResponse(e.to_string()))
 }
--- a/crates/table/src/force.rs
+++ b/crates/table/src/active.rs
@@ -15,7 +15,7 @@
 
 /// An edition with its table read.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveEdition {
     /// Edition.
     pub edition: Edition,
     /// Table.
@@ -26,9 +26,9 @@
 
 /// Why an edition that came as a patch was not taken.
 #[derive(Debug)]
-pub enum Refused {
+pub enum PatchError {
     /// The patch starts from an edition that isn't known here.
-    Base,
+    UnknownBase,
     /// The table has faults, or doesn't fit this deployment.
     Faults(Vec<Fault>),
 }
@@ -38,22 +38,22 @@
 
 /// Holder of the edition in force.
 #[derive(Debug)]
-pub struct Force {
+pub struct ActiveTable {
     domains: Domains,
-    kept: Mutex<VecDeque<Arc<InForce>>>,
-    current: watch::Sender<Arc<InForce>>,
+    kept: Mutex<VecDeque<Arc<ActiveEdition>>>,
+    current: watch::Sender<Arc<ActiveEdition>>,
     confirmed: Mutex<Option<Instant>>,
 }
 
-impl Force {
+impl ActiveTable {
     /// A holder of the empty table, as yet unconfirmed.
-    pub fn new(domains: Domains) -> Force {
-        let initial = InForce {
+    pub fn new(domains: Domains) -> ActiveTable {
+        let initial = ActiveEdition {
             edition: Edition::initial(),
             table: Table::default(),
             since: Instant::now(),
         };
-        Force {
+        ActiveTable {
             domains,
             kept: Mutex::default(),
             current: watch::Sender::new(Arc::new(initial)),
@@ -70,7 +70,7 @@
             return Ok(false);
         }
         let table = Table::parse(&edition.csv, &self.domains)?;
-        let next = Arc::new(InForce {
+        let next = Arc::new(ActiveEdition {
             edition,
             table,
             since: Instant::now(),
@@ -86,27 +86,27 @@
     }
 
     /// Takes an edition that came as a patch if it is newer; says whether it was.
-    pub fn follow(&self, patch: Patch) -> Result<bool, Refused> {
+    pub fn apply_patch(&self, patch: Patch) -> Result<bool, PatchError> {
         if patch.revision <= self.revision() {
             return Ok(false);
         }
         let base = self.kept(patch.base);
         let edition = patch
-            .follow(base.as_ref().map(|kept| &kept.edition))
-            .ok_or(Refused::Base)?;
-        self.offer(edition).map_err(Refused::Faults)
+            .apply(base.as_ref().map(|kept| &kept.edition))
+            .ok_or(PatchError::UnknownBase)?;
+        self.offer(edition).map_err(PatchError::Faults)
     }
 
     /// The edition in force as a patch for one who has a revision.
-    pub fn patch(&self, have: Revision) -> Patch {
-        let view = self.view();
+    pub fn patch_from(&self, have: Revision) -> Patch {
+        let view = self.current();
         match self.kept(have) {
             Some(base) => Patch::between(&base.edition, &view.edition),
-            None => Patch::whole(&view.edition),
+            None => Patch::full(&view.edition),
         }
     }
 
-    fn keep(&self, edition: Arc<InForce>) {
+    fn keep(&self, edition: Arc<ActiveEdition>) {
         let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         kept.push_back(edition);
         if kept.len() > KEPT {
@@ -114,7 +114,7 @@
         }
     }
 
-    fn kept(&self, revision: Revision) -> Option<Arc<InForce>> {
+    fn kept(&self, revision: Revision) -> Option<Arc<ActiveEdition>> {
         let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         kept.iter()
             .find(|k| k.edition.revision == revision)
@@ -134,7 +134,7 @@
     }
 
     /// The edition in force here.
-    pub fn view(&self) -> Arc<InForce> {
+    pub fn current(&self) -> Arc<ActiveEdition> {
         self.current.borrow().clone()
     }
 
@@ -144,12 +144,12 @@
     }
 
     /// Follows the editions.
-    pub fn subscribe(&self) -> watch::Receiver<Arc<InForce>> {
+    pub fn subscribe(&self) -> watch::Receiver<Arc<ActiveEdition>> {
         self.current.subscribe()
     }
 
     /// Time since the last confirmation; `None` before the first.
-    pub fn age(&self) -> Option<Duration> {
+    pub fn confirmation_age(&self) -> Option<Duration> {
         let confirmed = self
             .confirmed
             .lock()
@@ -158,8 +158,9 @@
     }
 
     /// Whether a row may be served by now, given its hold.
-    pub fn holds(&self, row: &Row) -> bool {
-        self.age().is_some_and(|age| row.hold.allows(age))
+    pub fn may_serve(&self, row: &Row) -> bool {
+        self.confirmation_age()
+            .is_some_and(|age| row.hold.allows(age))
     }
 
     /// All failure domains.
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -4,19 +4,19 @@
 //! traffic, its limits, its priority and how long a place that is cut off may go on by it. The
 //! table is a CSV file; [`Table::parse`] lists every fault in it with its line and remedy.
 
+pub mod active;
 pub mod diff;
 pub mod edition;
 pub mod fault;
-pub mod force;
 pub mod limits;
 pub mod parse;
 pub mod patch;
 pub mod row;
 
+pub use active::{ActiveEdition, ActiveTable, PatchError};
 pub use diff::{Change, diff};
 pub use edition::Edition;
 pub use fault::Fault;
-pub use force::{Force, InForce, Refused};
 pub use limits::Limits;
 pub use patch::Patch;
 pub use row::{Hold, Row, Version};
@@ -32,7 +32,7 @@
 
 impl Table {
     /// Rows of a model that permit a failure domain.
-    pub fn permitted<'a>(
+    pub fn permitted_rows<'a>(
         &'a self,
         model: &'a str,
         domain: &'a str,
@@ -58,12 +58,12 @@
     }
 
     /// Whether any row names the model.
-    pub fn knows(&self, model: &str) -> bool {
+    pub fn has_model(&self, model: &str) -> bool {
         self.rows.iter().any(|row| row.model == model)
     }
 
     /// Whether the version's weights may lie in the failure domain.
-    pub fn may_hold(&self, version: &Version, domain: &str, domains: &Domains) -> bool {
+    pub fn permits_weights(&self, version: &Version, domain: &str, domains: &Domains) -> bool {
         self.rows
             .iter()
             .any(|row| row.version == *version && row.permits(domain, domains))
--- a/crates/table/src/parse.rs
+++ b/crates/table/src/parse.rs
@@ -173,7 +173,7 @@
     if places.is_empty() {
         return Err("no place can serve the row; name at least one, joined by ';'".into());
     }
-    let unknown = places.iter().find(|place| !domains.knows(place));
+    let unknown = places.iter().find(|place| !domains.contains_place(place));
     if let Some(place) = unknown {
         let known: Vec<&str> = domains.names().map(String::as_str).collect();
         let hint = base::nearest::hint(&place.to_string(), known.iter().copied());
--- a/crates/table/src/patch.rs
+++ b/crates/table/src/patch.rs
@@ -32,14 +32,14 @@
 
 impl Patch {
     /// The whole edition.
-    pub fn whole(to: &Edition) -> Patch {
+    pub fn full(to: &Edition) -> Patch {
         Patch::new(to, 0, 0, 0, to.csv.clone())
     }
 
     /// What leads from one edition to another.
     pub fn between(base: &Edition, to: &Edition) -> Patch {
         if base.revision == 0 {
-            return Patch::whole(to);
+            return Patch::full(to);
         }
         let old: Vec<&str> = lines(&base.csv);
         let new: Vec<&str> = lines(&to.csv);
@@ -67,7 +67,7 @@
     }
 
     /// The edition it leads to; `None` where the base is not the one it was made from.
-    pub fn follow(self, base: Option<&Edition>) -> Option<Edition> {
+    pub fn apply(self, base: Option<&Edition>) -> Option<Edition> {
         let csv = match (self.base, base) {
             (0, _) => self.middle,
             (_, Some(base)) if base.revision == self.base => {
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -72,7 +72,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Hold::Serve => f.write_str(SERVE),
-            Hold::For(d) => f.write_str(&base::units::show_duration(*d)),
+            Hold::For(d) => f.write_str(&base::units::format_duration(*d)),
         }
     }
 }
@@ -99,7 +99,7 @@
 impl Row {
     /// Whether the row may run in a failure domain.
     pub fn permits(&self, domain: &str, domains: &Domains) -> bool {
-        self.places.iter().any(|p| domains.within(domain, p))
+        self.places.iter().any(|p| domains.is_within(domain, p))
     }
 
     /// What tells one row from another: model, version and places.
--- a/crates/table/tests/force.rs
+++ b/crates/table/tests/active.rs
@@ -5,7 +5,7 @@
 use base::Domains;
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
-use table::{Edition, Force};
+use table::{ActiveTable, Edition};
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -59,14 +59,14 @@
 }
 
 impl StateMachineTest for Holder {
-    type SystemUnderTest = Force;
+    type SystemUnderTest = ActiveTable;
     type Reference = Newest;
 
-    fn init_test(_: &Newest) -> Force {
-        Force::new(Domains::new(vec![("recife".into(), "pernambuco".into())]))
+    fn init_test(_: &Newest) -> ActiveTable {
+        ActiveTable::new(Domains::new(vec![("recife".into(), "pernambuco".into())]))
     }
 
-    fn apply(force: Force, _: &Newest, step: Step) -> Force {
+    fn apply(force: ActiveTable, _: &Newest, step: Step) -> ActiveTable {
         match step {
             Step::Offer(n) => drop(force.offer(edition(n, Edition::initial().csv))),
             Step::OfferBroken(n) => drop(force.offer(edition(n, "no table".into()))),
@@ -75,10 +75,10 @@
         force
     }
 
-    fn check_invariants(force: &Force, oracle: &Newest) {
+    fn check_invariants(force: &ActiveTable, oracle: &Newest) {
         assert_eq!(force.revision(), oracle.revision);
-        assert_eq!(force.view().edition.revision, oracle.revision);
-        assert_eq!(force.age().is_some(), oracle.confirmed);
+        assert_eq!(force.current().edition.revision, oracle.revision);
+        assert_eq!(force.confirmation_age().is_some(), oracle.confirmed);
     }
 }
 
@@ -91,9 +91,9 @@
 
 #[test]
 fn a_confirmation_never_grows_older() {
-    let force = Force::new(Domains::default());
+    let force = ActiveTable::new(Domains::default());
     let now = Instant::now();
     force.confirm(0, now);
     force.confirm(0, now - Duration::from_secs(60));
-    assert!(force.age().expect("confirmed") < Duration::from_secs(60));
+    assert!(force.confirmation_age().expect("confirmed") < Duration::from_secs(60));
 }
--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -16,11 +16,11 @@
     /// the body is larger than {0} bytes; send less
     TooLarge(usize),
     /// the body did not come within {0:?}; send it sooner
-    Slow(Duration),
+    TimedOut(Duration),
     /// the body broke off ({0}); send it again
     Broken(hyper::Error),
     /// the body was cut off: {0}
-    Cut(&'static str),
+    Interrupted(&'static str),
 }
 
 impl std::error::Error for BodyError {}
@@ -45,21 +45,25 @@
     let limited = Limited::new(body, limit);
     let collected = match tokio::time::timeout(within, limited.collect()).await {
         Ok(collected) => collected,
-        Err(_) => return Err(BodyError::Slow(within)),
+        Err(_) => return Err(BodyError::TimedOut(within)),
     };
     match collected {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(BodyError::TooLarge(limit)),
         Err(e) => match e.downcast::<hyper::Error>() {
             Ok(e) => Err(BodyError::Broken(*e)),
-            Err(_) => Err(BodyError::Cut("the peer closed")),
+            Err(_) => Err(BodyError::Interrupted("the peer closed")),
         },
     }
 }
 
 /// Reads a body to its end, within a size, as long as some of it comes within each `pause`. A large body
 /// on a narrow link takes its time; one that stops coming is given up.
-pub async fn read_steadily<B>(body: B, limit: usize, pause: Duration) -> Result<Bytes, BodyError>
+pub async fn read_with_idle_timeout<B>(
+    body: B,
+    limit: usize,
+    pause: Duration,
+) -> Result<Bytes, BodyError>
 where
     B: hyper::body::Body<Data = Bytes, Error = hyper::Error> + Unpin,
 {
@@ -72,7 +76,7 @@
         let frame = match tokio::time::timeout(pause, body.frame()).await {
             Ok(Some(frame)) => frame.map_err(BodyError::Broken)?,
             Ok(None) => return Ok(read.freeze()),
-            Err(_) => return Err(BodyError::Slow(pause)),
+            Err(_) => return Err(BodyError::TimedOut(pause)),
         };
         let Some(data) = frame.data_ref() else {
             continue;
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -33,9 +33,9 @@
     /// no connection to {0} ({1}); no byte of the request was sent
     NotSent(SocketAddr, String),
     /// {0} gave no whole answer ({1}); the request may have run
-    Lost(SocketAddr, String),
+    ResponseLost(SocketAddr, String),
     /// {0} gave no answer within {1:?}; the request may have run
-    Slow(SocketAddr, Duration),
+    TimedOut(SocketAddr, Duration),
 }
 
 impl std::error::Error for SendError {}
@@ -49,29 +49,29 @@
 
 /// How connections are made.
 #[derive(Debug, Clone, Copy)]
-pub struct Dial {
+pub struct DialOptions {
     /// Longest wait for a connection.
     pub timeout: Duration,
     /// Address that connections come from; `None` leaves it to the system.
     pub source: Option<IpAddr>,
     /// Whether connections are kept for later requests.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
-impl Dial {
+impl DialOptions {
     /// Connections from any address.
-    pub fn within(timeout: Duration) -> Dial {
-        Dial {
+    pub fn with_timeout(timeout: Duration) -> DialOptions {
+        DialOptions {
             timeout,
             source: None,
-            keep: true,
+            keep_alive: true,
         }
     }
 
     /// The same, each connection for one request.
-    pub fn once(self) -> Dial {
-        Dial {
-            keep: false,
+    pub fn without_keep_alive(self) -> DialOptions {
+        DialOptions {
+            keep_alive: false,
             ..self
         }
     }
@@ -85,7 +85,7 @@
 
 impl Client {
     /// A client.
-    pub fn new(dial: Dial) -> Client {
+    pub fn new(dial: DialOptions) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(dial.timeout));
@@ -95,7 +95,7 @@
         connector.set_keepalive_retries(Some(PROBES));
         connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
         let pool = Pool::builder(TokioExecutor::new())
-            .pool_max_idle_per_host(match dial.keep {
+            .pool_max_idle_per_host(match dial.keep_alive {
                 true => IDLE_PER_HOST,
                 false => 0,
             })
@@ -119,8 +119,8 @@
         match tokio::time::timeout(within, self.pool.request(req)).await {
             Ok(Ok(res)) => Ok(res),
             Ok(Err(e)) if e.is_connect() => Err(SendError::NotSent(to, cause(&e))),
-            Ok(Err(e)) => Err(SendError::Lost(to, cause(&e))),
-            Err(_) => Err(SendError::Slow(to, within)),
+            Ok(Err(e)) => Err(SendError::ResponseLost(to, cause(&e))),
+            Err(_) => Err(SendError::TimedOut(to, within)),
         }
     }
 }
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -4,9 +4,9 @@
 pub mod client;
 pub mod server;
 
-pub use body::{Body, BodyError, empty, full, read_body, read_steadily};
-pub use client::{Client, Dial, SendError};
-pub use server::{Bounds, Stop, serve};
+pub use body::{Body, BodyError, empty, full, read_body, read_with_idle_timeout};
+pub use client::{Client, DialOptions, SendError};
+pub use server::{ServerLimits, StopSignal, serve};
 
 /// A request as a server gets it.
 pub type Request = hyper::Request<hyper::body::Incoming>;
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -16,42 +16,46 @@
 /// Pause after a failed accept, so that a lack of descriptors doesn't spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct ServerLimits {
     /// Connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Longest wait for a head.
     pub header_timeout: Duration,
     /// Largest head, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest drain at a planned stop.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
 }
 
-impl Bounds {
-    /// Bounds for admin servers and stand-ins.
-    pub fn internal() -> Bounds {
-        Bounds {
-            connections: 4096,
+impl ServerLimits {
+    /// Limits for admin servers and stand-ins.
+    pub fn internal() -> ServerLimits {
+        ServerLimits {
+            max_connections: 4096,
             header_timeout: Duration::from_secs(10),
-            header_bytes: 64 << 10,
-            drain: Duration::from_secs(2),
+            max_header_bytes: 64 << 10,
+            drain_timeout: Duration::from_secs(2),
         }
     }
 }
 
 /// Receives `true` when a planned stop begins.
-pub type Stop = watch::Receiver<bool>;
+pub type StopSignal = watch::Receiver<bool>;
 
 /// Serves until a planned stop, then lets running requests end within the drain time.
-pub async fn serve<H, F>(listener: TcpListener, bounds: Bounds, mut stop: Stop, handler: H)
-where
+pub async fn serve<H, F>(
+    listener: TcpListener,
+    limits: ServerLimits,
+    mut stop: StopSignal,
+    handler: H,
+) where
     H: Fn(Request) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
     let graceful = GracefulShutdown::new();
-    let slots = Arc::new(Semaphore::new(bounds.connections));
+    let slots = Arc::new(Semaphore::new(limits.max_connections));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -62,7 +66,7 @@
                 let watcher = graceful.watcher();
                 let handler = handler.clone();
                 tokio::spawn(async move {
-                    connection(stream, bounds, watcher, handler).await;
+                    connection(stream, limits, watcher, handler).await;
                     drop(slot);
                 });
             }
@@ -71,12 +75,12 @@
         }
     }
     drop(listener);
-    let _ = tokio::time::timeout(bounds.drain, graceful.shutdown()).await;
+    let _ = tokio::time::timeout(limits.drain_timeout, graceful.shutdown()).await;
 }
 
 async fn connection<H, F>(
     stream: TcpStream,
-    bounds: Bounds,
+    limits: ServerLimits,
     watcher: hyper_util::server::graceful::Watcher,
     handler: H,
 ) where
@@ -90,8 +94,8 @@
     });
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.header_timeout)
-        .max_buf_size(bounds.header_bytes)
+        .header_read_timeout(limits.header_timeout)
+        .max_buf_size(limits.max_header_bytes)
         .serve_connection(TokioIo::new(stream), service);
     // A broken connection is the peer's affair; its request is handled where it runs.
     let _ = watcher.watch(conn).await;
--- a/crates/weights/src/manifest.rs
+++ b/crates/weights/src/manifest.rs
@@ -53,7 +53,7 @@
 
 impl Manifest {
     /// Reads weights to their end and lists their chunks.
-    pub fn of(mut src: impl Read, chunk_bytes: u32) -> Result<Manifest, ManifestError> {
+    pub fn from_reader(mut src: impl Read, chunk_bytes: u32) -> Result<Manifest, ManifestError> {
         let mut chunks = Vec::new();
         let mut bytes = 0;
         loop {
--- a/crates/weights/src/store.rs
+++ b/crates/weights/src/store.rs
@@ -72,12 +72,12 @@
     }
 
     /// Whether the chunk is held.
-    pub fn has(&self, chunk: &Digest) -> bool {
+    pub fn contains(&self, chunk: &Digest) -> bool {
         self.chunks.contains_key(chunk)
     }
 
     /// Bytes held.
-    pub fn held(&self) -> usize {
+    pub fn stored_bytes(&self) -> usize {
         self.held
     }
 
--- a/crates/weights/tests/weights.rs
+++ b/crates/weights/tests/weights.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_manifest_with_one_byte_changed_is_refused() {
-    let manifest = Manifest::of(&[7u8; 1000][..], 100).expect("a manifest");
+    let manifest = Manifest::from_reader(&[7u8; 1000][..], 100).expect("a manifest");
     let mut buf = manifest.encode();
     buf[10] ^= 1;
     let decoded = Manifest::decode(&buf, manifest.digest());
@@ -48,9 +48,9 @@
     ));
     let (big, big_buf) = chunk(3, 101);
     assert_eq!(store.put(big, big_buf), Err(StoreError::TooLarge(101, 100)));
-    assert_eq!(store.held(), 0);
+    assert_eq!(store.stored_bytes(), 0);
     store.put(a, buf).expect("kept");
-    assert_eq!(store.held(), 50);
+    assert_eq!(store.stored_bytes(), 50);
 }
 
 proptest! {
@@ -59,7 +59,7 @@
     #[test]
     fn the_ranges_of_a_manifest_cover_the_weights_once(len in 1usize..5000, chunk in 1u32..700) {
         let weights: Vec<u8> = (0..len).map(|i| i as u8).collect();
-        let manifest = Manifest::of(weights.as_slice(), chunk).expect("a manifest");
+        let manifest = Manifest::from_reader(weights.as_slice(), chunk).expect("a manifest");
         let mut joined = Vec::new();
         for (i, digest) in manifest.chunks.iter().enumerate() {
             let (first, end) = manifest.range(i);
@@ -78,10 +78,10 @@
         for (n, len) in puts {
             let (digest, buf) = chunk(n, len);
             store.put(digest, buf.clone()).expect("it fits");
-            prop_assert!(store.held() <= 200);
+            prop_assert!(store.stored_bytes() <= 200);
             prop_assert_eq!(store.get(&digest), Some(buf));
         }
         store.retain(|_| false);
-        prop_assert_eq!(store.held(), 0);
+        prop_assert_eq!(store.stored_bytes(), 0);
     }
 }
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -9,14 +9,14 @@
 
 use crate::control_capnp as c;
 use crate::{
-    AgentDigest, AgentInfo, Beat, BeatReply, Claim, Claimed, Freshness, Holding, Note, Peer,
-    Replica, Rollout, WireError,
+    AgentInfo, AgentStatus, Claim, ClaimOutcome, EntryUpdate, Freshness, Heartbeat, HeartbeatReply,
+    Holding, Peer, Replica, Rollout, WireError,
 };
 
 type Read<T> = Result<T, WireError>;
 
 fn garbled(what: &str) -> WireError {
-    WireError::Garbled(what.to_owned())
+    WireError::InvalidMessage(what.to_owned())
 }
 
 fn string(t: text::Reader) -> Read<String> {
@@ -66,7 +66,7 @@
 }
 
 /// Reads a heartbeat.
-pub fn read_beat(r: c::beat::Reader) -> Read<Beat> {
+pub fn read_heartbeat(r: c::beat::Reader) -> Read<Heartbeat> {
     let holdings = r.get_holdings()?.iter().map(|h| {
         Ok(Holding {
             model: string(h.get_model()?)?,
@@ -75,7 +75,7 @@
             permille: h.get_permille(),
         })
     });
-    Ok(Beat {
+    Ok(Heartbeat {
         revision: r.get_revision(),
         running: r.get_running(),
         leaving: r.get_leaving(),
@@ -86,7 +86,7 @@
 }
 
 /// Writes a heartbeat.
-pub fn write_beat(mut b: c::beat::Builder, beat: &Beat) {
+pub fn write_heartbeat(mut b: c::beat::Builder, beat: &Heartbeat) {
     b.set_revision(beat.revision);
     b.set_running(beat.running);
     b.set_leaving(beat.leaving);
@@ -115,9 +115,9 @@
 }
 
 /// Reads the answer to a heartbeat.
-pub fn read_beat_reply(r: c::beat_reply::Reader) -> Read<BeatReply> {
-    Ok(BeatReply {
-        fresh: read_fresh(r.get_fresh()?),
+pub fn read_heartbeat_reply(r: c::beat_reply::Reader) -> Read<HeartbeatReply> {
+    Ok(HeartbeatReply {
+        freshness: read_fresh(r.get_fresh()?),
         interval: Duration::from_millis(r.get_interval_ms().into()),
         leaving: r.get_leaving(),
         entries_seen: r.get_entries_seen(),
@@ -126,8 +126,8 @@
 }
 
 /// Writes the answer to a heartbeat.
-pub fn write_beat_reply(mut b: c::beat_reply::Builder, reply: &BeatReply) {
-    write_fresh(b.reborrow().init_fresh(), &reply.fresh);
+pub fn write_heartbeat_reply(mut b: c::beat_reply::Builder, reply: &HeartbeatReply) {
+    write_fresh(b.reborrow().init_fresh(), &reply.freshness);
     b.set_interval_ms(reply.interval.as_millis() as u32);
     b.set_leaving(reply.leaving);
     b.set_entries_seen(reply.entries_seen);
@@ -211,29 +211,29 @@
     })
 }
 
-fn read_digest(r: c::agent_digest::Reader) -> Read<AgentDigest> {
-    Ok(AgentDigest {
+fn read_agent_status(r: c::agent_digest::Reader) -> Read<AgentStatus> {
+    Ok(AgentStatus {
         info: read_info(r.get_info()?)?,
-        beat: read_beat(r.get_beat()?)?,
+        beat: read_heartbeat(r.get_beat()?)?,
     })
 }
 
 /// Reads a note between entries.
-pub fn read_note(r: c::note::Reader) -> Read<Note> {
-    Ok(Note {
+pub fn read_entry_update(r: c::note::Reader) -> Read<EntryUpdate> {
+    Ok(EntryUpdate {
         vm: string(r.get_vm()?)?,
         domain: string(r.get_domain()?)?,
         control: parse(r.get_control()?, "address")?,
-        fresh: read_fresh(r.get_fresh()?),
+        freshness: read_fresh(r.get_fresh()?),
         leaving: r.get_leaving(),
         entries: addrs(r.get_entries()?)?,
         state: r.get_state(),
-        seen: r.get_seen(),
-        told: r.get_told(),
+        applied_state: r.get_seen(),
+        has_lists: r.get_told(),
         agents: r
             .get_agents()?
             .iter()
-            .map(read_digest)
+            .map(read_agent_status)
             .collect::<Read<_>>()?,
         replicas: r
             .get_replicas()?
@@ -249,22 +249,22 @@
 }
 
 /// Writes a note between entries.
-pub fn write_note(mut b: c::note::Builder, note: &Note) {
+pub fn write_entry_update(mut b: c::note::Builder, note: &EntryUpdate) {
     b.set_vm(note.vm.as_str());
     b.set_domain(note.domain.as_str());
     b.set_control(note.control.to_string().as_str());
-    write_fresh(b.reborrow().init_fresh(), &note.fresh);
+    write_fresh(b.reborrow().init_fresh(), &note.freshness);
     b.set_leaving(note.leaving);
     let entries = b.reborrow().init_entries(note.entries.len() as u32);
     write_addrs(entries, &note.entries);
     b.set_state(note.state);
-    b.set_seen(note.seen);
-    b.set_told(note.told);
+    b.set_seen(note.applied_state);
+    b.set_told(note.has_lists);
     let mut agents = b.reborrow().init_agents(note.agents.len() as u32);
     for (i, digest) in note.agents.iter().enumerate() {
         let mut b = agents.reborrow().get(i as u32);
         write_info(b.reborrow().init_info(), &digest.info);
-        write_beat(b.init_beat(), &digest.beat);
+        write_heartbeat(b.init_beat(), &digest.beat);
     }
     let mut replicas = b.reborrow().init_replicas(note.replicas.len() as u32);
     for (i, replica) in note.replicas.iter().enumerate() {
@@ -301,21 +301,21 @@
 }
 
 /// Reads what became of a claim.
-pub fn read_claimed(claimed: c::Claimed) -> Claimed {
+pub fn read_claim_outcome(claimed: c::Claimed) -> ClaimOutcome {
     match claimed {
-        c::Claimed::Won => Claimed::Won,
-        c::Claimed::Taken => Claimed::Taken,
-        c::Claimed::Unknown => Claimed::Unknown,
-        c::Claimed::Down => Claimed::Down,
+        c::Claimed::Won => ClaimOutcome::Won,
+        c::Claimed::Taken => ClaimOutcome::Taken,
+        c::Claimed::Unknown => ClaimOutcome::Unknown,
+        c::Claimed::Down => ClaimOutcome::Unavailable,
     }
 }
 
 /// Writes what became of a claim.
-pub fn write_claimed(claimed: Claimed) -> c::Claimed {
+pub fn write_claim_outcome(claimed: ClaimOutcome) -> c::Claimed {
     match claimed {
-        Claimed::Won => c::Claimed::Won,
-        Claimed::Taken => c::Claimed::Taken,
-        Claimed::Unknown => c::Claimed::Unknown,
-        Claimed::Down => c::Claimed::Down,
+        ClaimOutcome::Won => c::Claimed::Won,
+        ClaimOutcome::Taken => c::Claimed::Taken,
+        ClaimOutcome::Unknown => c::Claimed::Unknown,
+        ClaimOutcome::Unavailable => c::Claimed::Down,
     }
 }
--- a/crates/wire/src/counted.rs
+++ b/crates/wire/src/counted.rs
@@ -38,19 +38,19 @@
 
 /// A stream whose bytes are counted.
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountedStream<S> {
     stream: S,
     traffic: Traffic,
 }
 
-impl<S> Counted<S> {
+impl<S> CountedStream<S> {
     /// Counts the bytes of a stream.
-    pub fn new(stream: S, traffic: Traffic) -> Counted<S> {
-        Counted { stream, traffic }
+    pub fn new(stream: S, traffic: Traffic) -> CountedStream<S> {
+        CountedStream { stream, traffic }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -64,7 +64,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -10,9 +10,9 @@
     /// the control link broke ({0}); it will be made again
     Broken(String),
     /// the peer gave no answer in time; the link will be made again
-    Slow,
+    TimedOut,
     /// the peer's message makes no sense ({0}); run the same version on all VMs
-    Garbled(String),
+    InvalidMessage(String),
 }
 
 impl std::error::Error for WireError {}
@@ -25,13 +25,13 @@
 
 impl From<capnp::NotInSchema> for WireError {
     fn from(e: capnp::NotInSchema) -> WireError {
-        WireError::Garbled(e.to_string())
+        WireError::InvalidMessage(e.to_string())
     }
 }
 
 impl From<std::str::Utf8Error> for WireError {
     fn from(e: std::str::Utf8Error) -> WireError {
-        WireError::Garbled(e.to_string())
+        WireError::InvalidMessage(e.to_string())
     }
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -13,10 +13,11 @@
 pub mod error;
 pub mod link;
 pub mod msg;
-pub mod seat;
+pub mod session;
+
 pub mod thread;
 
 pub use error::WireError;
 pub use link::{Link, accept};
 pub use msg::*;
-pub use seat::SeatLink;
+pub use session::AgentSession;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -13,8 +13,8 @@
 
 use crate::control_capnp::entry;
 use crate::convert;
-use crate::counted::{Counted, Traffic};
-use crate::{AgentInfo, Claim, Claimed, Note, SeatLink, WireError};
+use crate::counted::{CountedStream, Traffic};
+use crate::{AgentInfo, AgentSession, Claim, ClaimOutcome, EntryUpdate, WireError};
 
 /// Largest message, in words of eight bytes.
 const MAX_MESSAGE_WORDS: usize = 4 << 20;
@@ -29,14 +29,14 @@
 }
 
 type Network =
-    twoparty::VatNetwork<tokio_util::compat::Compat<Counted<tokio::net::tcp::OwnedReadHalf>>>;
+    twoparty::VatNetwork<tokio_util::compat::Compat<CountedStream<tokio::net::tcp::OwnedReadHalf>>>;
 
 fn network(stream: TcpStream, side: Side, traffic: &Traffic) -> Box<Network> {
     let _ = stream.set_nodelay(true);
     let (rx, tx) = stream.into_split();
     Box::new(twoparty::VatNetwork::new(
-        Counted::new(rx, traffic.clone()).compat(),
-        Counted::new(tx, traffic.clone()).compat_write(),
+        CountedStream::new(rx, traffic.clone()).compat(),
+        CountedStream::new(tx, traffic.clone()).compat_write(),
         side,
         reader_options(),
     ))
@@ -98,20 +98,20 @@
     }
 
     /// Joins as an agent.
-    pub async fn join(&self, info: &AgentInfo) -> Result<SeatLink, WireError> {
+    pub async fn join(&self, info: &AgentInfo) -> Result<AgentSession, WireError> {
         let mut req = self.entry.join_request();
         convert::write_info(req.get().init_info(), info);
         let res = timely(req.send().promise).await?;
         let seat = res.get()?.get_seat()?;
-        Ok(SeatLink::new(seat))
+        Ok(AgentSession::new(seat))
     }
 
     /// Exchanges notes with the entry.
-    pub async fn exchange(&self, note: &Note) -> Result<Note, WireError> {
+    pub async fn exchange(&self, note: &EntryUpdate) -> Result<EntryUpdate, WireError> {
         let mut req = self.entry.exchange_request();
-        convert::write_note(req.get().init_note(), note);
+        convert::write_entry_update(req.get().init_note(), note);
         let res = timely(req.send().promise).await?;
-        convert::read_note(res.get()?.get_note()?)
+        convert::read_entry_update(res.get()?.get_note()?)
     }
 
     /// Waits, for as long as it takes, until the entry has a later revision than `have`.
@@ -125,7 +125,7 @@
     /// Hands the entry an edition that it has not.
     pub async fn offer(&self, edition: &Edition) -> Result<(), WireError> {
         let mut req = self.entry.offer_request();
-        convert::write_patch(req.get().init_edition(), &Patch::whole(edition));
+        convert::write_patch(req.get().init_edition(), &Patch::full(edition));
         timely(req.send().promise).await.map(drop)
     }
 
@@ -134,13 +134,13 @@
         &self,
         claims: &[Claim],
         within: Duration,
-    ) -> Result<Vec<Claimed>, WireError> {
+    ) -> Result<Vec<ClaimOutcome>, WireError> {
         let mut req = self.entry.claim_request();
         convert::write_claims(req.get().init_claims(claims.len() as u32), claims);
         let res = tokio::time::timeout(within, req.send().promise).await;
-        let res = res.map_err(|_| WireError::Slow)??;
+        let res = res.map_err(|_| WireError::TimedOut)??;
         let list = res.get()?.get_results()?;
-        let read = list.iter().map(|c| c.map(convert::read_claimed));
+        let read = list.iter().map(|c| c.map(convert::read_claim_outcome));
         Ok(read.collect::<Result<_, _>>()?)
     }
 }
@@ -163,6 +163,6 @@
 ) -> Result<T, WireError> {
     match tokio::time::timeout(CALL_TIMEOUT, call).await {
         Ok(res) => Ok(res?),
-        Err(_) => Err(WireError::Slow),
+        Err(_) => Err(WireError::TimedOut),
     }
 }
--- a/crates/wire/src/msg.rs
+++ b/crates/wire/src/msg.rs
@@ -7,7 +7,7 @@
 use table::Version;
 
 /// Age of what was never confirmed; no hold allows it.
-pub const NEVER: Duration = Duration::from_secs(u32::MAX as u64);
+pub const NEVER_CONFIRMED: Duration = Duration::from_secs(u32::MAX as u64);
 
 /// Who an agent is.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
 /// Heartbeat of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Revision of the table it serves by.
     pub revision: Revision,
     /// Requests running at its upstream.
@@ -60,11 +60,11 @@
 
 /// An agent that has joined the entry that tells of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AgentDigest {
+pub struct AgentStatus {
     /// Who it is.
     pub info: AgentInfo,
     /// Its last heartbeat.
-    pub beat: Beat,
+    pub beat: Heartbeat,
 }
 
 /// What revision a process serves by, and how long ago the platform confirmed it.
@@ -78,9 +78,9 @@
 
 /// Answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BeatReply {
+pub struct HeartbeatReply {
     /// The entry's revision.
-    pub fresh: Freshness,
+    pub freshness: Freshness,
     /// Time to the next heartbeat.
     pub interval: Duration,
     /// Whether the platform lists the VM as leaving.
@@ -130,7 +130,7 @@
 
 /// What entries tell each other.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Note {
+pub struct EntryUpdate {
     /// VM.
     pub vm: VmId,
     /// Failure domain.
@@ -138,7 +138,7 @@
     /// Control address.
     pub control: SocketAddr,
     /// Revision.
-    pub fresh: Freshness,
+    pub freshness: Freshness,
     /// Whether the entry is stopping.
     pub leaving: bool,
     /// Control addresses of the entries it knows.
@@ -146,11 +146,11 @@
     /// State of what the sender tells.
     pub state: u64,
     /// The last state the sender has of the receiver's.
-    pub seen: u64,
+    pub applied_state: u64,
     /// Whether the lists below are told; else the receiver has them already.
-    pub told: bool,
+    pub has_lists: bool,
     /// Within a failure domain: agents that have joined the sender.
-    pub agents: Vec<AgentDigest>,
+    pub agents: Vec<AgentStatus>,
     /// Between failure domains: a bounded sample of live replicas.
     pub replicas: Vec<Replica>,
     /// Between failure domains: rollouts.
@@ -170,7 +170,7 @@
 
 /// What became of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// It was written.
     Won,
     /// Another claim stands.
@@ -178,5 +178,5 @@
     /// It may have been written.
     Unknown,
     /// It was not written; the platform is down.
-    Down,
+    Unavailable,
 }
--- a/crates/wire/src/seat.rs
+++ b/crates/wire/src/session.rs
@@ -5,30 +5,30 @@
 use crate::control_capnp::seat;
 use crate::convert;
 use crate::link::timely;
-use crate::{Beat, BeatReply, Peer, WireError};
+use crate::{Heartbeat, HeartbeatReply, Peer, WireError};
 
 /// The agent's end of its seat.
-pub struct SeatLink {
+pub struct AgentSession {
     seat: seat::Client,
 }
 
-impl std::fmt::Debug for SeatLink {
+impl std::fmt::Debug for AgentSession {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("SeatLink")
+        f.write_str("AgentSession")
     }
 }
 
-impl SeatLink {
-    pub(crate) fn new(seat: seat::Client) -> SeatLink {
-        SeatLink { seat }
+impl AgentSession {
+    pub(crate) fn new(seat: seat::Client) -> AgentSession {
+        AgentSession { seat }
     }
 
     /// Sends a heartbeat.
-    pub async fn beat(&self, beat: &Beat) -> Result<BeatReply, WireError> {
+    pub async fn heartbeat(&self, beat: &Heartbeat) -> Result<HeartbeatReply, WireError> {
         let mut req = self.seat.beat_request();
-        convert::write_beat(req.get().init_beat(), beat);
+        convert::write_heartbeat(req.get().init_beat(), beat);
         let res = timely(req.send().promise).await?;
-        convert::read_beat_reply(res.get()?.get_reply()?)
+        convert::read_heartbeat_reply(res.get()?.get_reply()?)
     }
 
     /// Waits, for as long as it takes, until the entry has a later revision than `have`.
@@ -42,7 +42,7 @@
     /// Hands the entry an edition that it has not.
     pub async fn offer(&self, edition: &Edition) -> Result<(), WireError> {
         let mut req = self.seat.offer_request();
-        convert::write_patch(req.get().init_edition(), &Patch::whole(edition));
+        convert::write_patch(req.get().init_edition(), &Patch::full(edition));
         timely(req.send().promise).await.map(drop)
     }
 
