--- a/crates/gateway/src/confirm.rs
+++ b/crates/gateway/src/confirm.rs
@@ -14,7 +14,7 @@
 use log::{debug, warn};
 use tokio::sync::Notify;
 use tokio::sync::watch;
-use web::{Client, Dial, Request};
+use web::{Client, DialOptions, Request};
 
 use crate::Cx;
 
@@ -47,7 +47,7 @@
             denial_policy: Mutex::new(DenialPolicy::new(config_time)),
             idle: watch::Sender::new(true),
             wake_reader,
-            client: Client::new(Dial::within(QUERY_TIMEOUT)),
+            client: Client::new(DialOptions::with_timeout(QUERY_TIMEOUT)),
         }
     }
 
--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use base::{LifeId, Map, Set};
+use base::{Map, Set, UpstreamIncarnation};
 use beacon::RateLimitUpdate;
 use decide::back_off;
 use decide::rate_limit::RateLimit;
@@ -40,11 +40,11 @@
 struct State {
     rate_limits: RateLimits,
     /// Upstreams that are draining, and when they first advertised it.
-    draining: Map<LifeId, Instant>,
+    draining: Map<UpstreamIncarnation, Instant>,
     /// Ends of back-offs that upstreams requested of this gateway.
-    back_offs: Map<LifeId, Instant>,
+    back_offs: Map<UpstreamIncarnation, Instant>,
     /// Headers with an invalid value, and when they were last ignored.
-    ignored: Map<(LifeId, HeaderName), Instant>,
+    ignored: Map<(UpstreamIncarnation, HeaderName), Instant>,
 }
 
 impl Feedback {
@@ -115,7 +115,7 @@
     }
 
     /// Drops expired feedback, and after `UNLISTED_TIME` that of upstreams that aren't listed.
-    pub fn purge(&self, listed: &Set<LifeId>, now: Instant) {
+    pub fn purge(&self, listed: &Set<UpstreamIncarnation>, now: Instant) {
         let State {
             rate_limits,
             draining,
@@ -184,7 +184,7 @@
 
 impl FeedbackView<'_> {
     /// Returns the rate limit of an upstream.
-    pub fn rate_limit(&self, incarnation: LifeId) -> Option<RateLimit> {
+    pub fn rate_limit(&self, incarnation: UpstreamIncarnation) -> Option<RateLimit> {
         self.0.rate_limits.get(incarnation)
     }
 
@@ -194,12 +194,12 @@
     }
 
     /// Returns the end of the back-off that an upstream requested of this gateway; it may be in the past.
-    pub fn back_off_until(&self, incarnation: LifeId) -> Option<Instant> {
+    pub fn back_off_until(&self, incarnation: UpstreamIncarnation) -> Option<Instant> {
         self.0.back_offs.get(&incarnation).copied()
     }
 
     /// Returns whether an upstream has advertised that it is draining.
-    pub fn is_draining(&self, incarnation: LifeId) -> bool {
+    pub fn is_draining(&self, incarnation: UpstreamIncarnation) -> bool {
         self.0.draining.contains_key(&incarnation)
     }
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -13,7 +13,7 @@
 use beacon::{Beacon, EngineStatus, Holding, LoadUpdate, Msg, RateLimitUpdate, SuspectUpdate};
 use log::{debug, warn};
 use mirror::DocName;
-use web::{Client, Dial};
+use web::{Client, DialOptions};
 
 use crate::announcements::Scope;
 use crate::load_updates::hello;
@@ -35,7 +35,7 @@
 
 /// Receives and applies messages.
 pub(crate) async fn listen(cx: Arc<Cx>, beacon: Beacon) {
-    let client = Client::new(Dial::within(FETCH_TIMEOUT));
+    let client = Client::new(DialOptions::with_timeout(FETCH_TIMEOUT));
     loop {
         let (msg, from) = beacon.recv().await;
         match msg {
--- a/crates/gateway/src/rate_limits.rs
+++ b/crates/gateway/src/rate_limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use base::{LifeId, Map, Set};
+use base::{Map, Set, UpstreamIncarnation};
 use beacon::RateLimitUpdate;
 use decide::rate_limit::RateLimit;
 use log::info;
@@ -47,12 +47,12 @@
 /// Limits by incarnation of the upstream; an upstream without an entry has none.
 #[derive(Debug, Default)]
 pub(crate) struct RateLimits {
-    known: Map<LifeId, KnownLimit>,
+    known: Map<UpstreamIncarnation, KnownLimit>,
 }
 
 impl RateLimits {
     /// Returns the limit of an upstream.
-    pub(crate) fn get(&self, incarnation: LifeId) -> Option<RateLimit> {
+    pub(crate) fn get(&self, incarnation: UpstreamIncarnation) -> Option<RateLimit> {
         let known = self.known.get(&incarnation)?;
         let per_1000_s = known.per_1000_s?;
         Some(RateLimit {
@@ -167,7 +167,12 @@
 
     /// Drops limits that were lifted [`LIFTED_TIME`] ago, and after `unlisted_time` those of upstreams that aren't
     /// listed.
-    pub(crate) fn purge(&mut self, listed: &Set<LifeId>, unlisted_time: Duration, now: Instant) {
+    pub(crate) fn purge(
+        &mut self,
+        listed: &Set<UpstreamIncarnation>,
+        unlisted_time: Duration,
+        now: Instant,
+    ) {
         self.known.retain(|incarnation, known| {
             let age = now.saturating_duration_since(known.at);
             match known.per_1000_s {
@@ -179,7 +184,7 @@
 }
 
 impl KnownLimit {
-    fn update(&self, incarnation: LifeId, now: Instant) -> RateLimitUpdate {
+    fn update(&self, incarnation: UpstreamIncarnation, now: Instant) -> RateLimitUpdate {
         RateLimitUpdate {
             incarnation,
             per_1000_s: self.per_1000_s,
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use base::{Fingerprint, LifeId, Set};
+use base::{Fingerprint, Set, UpstreamIncarnation};
 use beacon::SuspectUpdate;
 use decide::quarantine::{Decision, Isolation, Quarantine, UpstreamExit};
 use log::info;
@@ -166,7 +166,7 @@
 
     /// Records the exits of upstreams that aren't among the listed incarnations, for requests whose responses were
     /// lost there.
-    pub fn confirm_exits(&self, listed: &Set<LifeId>) {
+    pub fn confirm_exits(&self, listed: &Set<UpstreamIncarnation>) {
         for unconfirmed in self.unconfirmed.take_confirmed(listed, clock::now()) {
             self.add_exit(
                 unconfirmed.request,
@@ -242,13 +242,13 @@
 
     /// Applies updates of another gateway, and relays those that are new to `relay_to`. Returns the incarnations of
     /// upstreams that exited within `RECENT_EXIT`, where that is new.
-    pub fn receive(&self, updates: Vec<SuspectUpdate>, relay_to: Option<Scope>) -> Vec<LifeId> {
+    pub fn receive(&self, updates: Vec<SuspectUpdate>, relay_to: Option<Scope>) -> Vec<UpstreamIncarnation> {
         let now = clock::now();
         let mut exited = Vec::new();
         for update in updates {
             let request = update.request;
             let recent = update.exits.iter().filter(|(_, ago)| *ago < RECENT_EXIT);
-            let recent: Vec<LifeId> = recent.map(|(incarnation, _)| *incarnation).collect();
+            let recent: Vec<UpstreamIncarnation> = recent.map(|(incarnation, _)| *incarnation).collect();
             let mut quarantine = self.quarantine();
             let was_quarantined = quarantine.is_quarantined(&request, now);
             let is_new = quarantine.merge(request, suspect_from_update(update, now));
