--- a/crates/cli/tests/follow.rs
+++ b/crates/cli/tests/follow.rs
@@ -3,7 +3,7 @@
 
 use std::path::PathBuf;
 
-use follow::options::{Cell, Fault, Feed, LINK_MBIT, LOOK, Options, Seed};
+use follow::options::{Cell, Fault, Feed, LINK_MBIT, Options, POLL_INTERVAL, Seed};
 
 const SEED: Seed = 1;
 
@@ -14,7 +14,7 @@
         domains: 2,
         link_mbit: LINK_MBIT,
         feed: Feed::Rows,
-        look: LOOK,
+        poll_interval: POLL_INTERVAL,
         keep: false,
     }
 }
