--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -41,7 +41,7 @@
 
         let report = soak::run(options(SPAN), seed).await.expect("a run");
 
-        assert_eq!(report.broken, [], "seed {seed}: {:?}", report.faults);
+        assert_eq!(report.violations, [], "seed {seed}: {:?}", report.faults);
         assert!(report.served > 0 && !report.faults.is_empty());
     }
 }
@@ -53,7 +53,7 @@
 
         let report = soak::run(options(LONG_SPAN), seed).await.expect("a run");
 
-        assert_eq!(report.broken, [], "seed {seed}: {:?}", report.faults);
+        assert_eq!(report.violations, [], "seed {seed}: {:?}", report.faults);
         assert!(report.served > 0 && !report.changes.is_empty());
     }
 }
@@ -68,6 +68,6 @@
 
     let report = soak::run(options, DEADLY).await.expect("a run");
 
-    assert_eq!(report.broken, [], "seed {DEADLY}: {:?}", report.faults);
-    assert!(report.served > 0 && report.ended > 0);
+    assert_eq!(report.violations, [], "seed {DEADLY}: {:?}", report.faults);
+    assert!(report.served > 0 && report.engine_exits > 0);
 }
