--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -242,13 +242,18 @@
 
     /// Applies updates of another gateway, and relays those that are new to `relay_to`. Returns the incarnations of
     /// upstreams that exited within `RECENT_EXIT`, where that is new.
-    pub fn receive(&self, updates: Vec<SuspectUpdate>, relay_to: Option<Scope>) -> Vec<UpstreamIncarnation> {
+    pub fn receive(
+        &self,
+        updates: Vec<SuspectUpdate>,
+        relay_to: Option<Scope>,
+    ) -> Vec<UpstreamIncarnation> {
         let now = clock::now();
         let mut exited = Vec::new();
         for update in updates {
             let request = update.request;
             let recent = update.exits.iter().filter(|(_, ago)| *ago < RECENT_EXIT);
-            let recent: Vec<UpstreamIncarnation> = recent.map(|(incarnation, _)| *incarnation).collect();
+            let recent: Vec<UpstreamIncarnation> =
+                recent.map(|(incarnation, _)| *incarnation).collect();
             let mut quarantine = self.quarantine();
             let was_quarantined = quarantine.is_quarantined(&request, now);
             let is_new = quarantine.merge(request, suspect_from_update(update, now));
