--- a/crates/base/src/digest.rs
+++ b/crates/base/src/digest.rs
@@ -18,17 +18,17 @@
 impl std::error::Error for ParseDigestError {}
 
 impl Digest {
-    /// Digest of some bytes.
+    /// Returns the digest of `buf`.
     pub fn of(buf: &[u8]) -> Digest {
         Digest(*blake3::hash(buf).as_bytes())
     }
 
-    /// The 32 bytes.
+    /// Returns the 32 bytes.
     pub fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
 
-    /// A digest from its 32 bytes; fails on any other length.
+    /// Creates a digest from its 32 bytes; fails on any other length.
     pub fn from_slice(buf: &[u8]) -> Result<Digest, ParseDigestError> {
         match buf.try_into() {
             Ok(bytes) => Ok(Digest(bytes)),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The first eight hex digits, for people.
+    /// Returns the first eight hex digits, for display.
     pub fn short(&self) -> String {
         self.to_string()[..8].to_owned()
     }
--- a/crates/base/src/fingerprint.rs
+++ b/crates/base/src/fingerprint.rs
@@ -1,22 +1,22 @@
-//! What tells that two attempts are the same request.
+//! Fingerprints, which identify the attempts of one request.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Fingerprint of a request, the same for each attempt of it; written as 32 hex digits.
+/// Fingerprint of a request, the same for each of its attempts; written as 32 hex digits.
 ///
-/// 128 bits of BLAKE3: to make a request that passes for a given other one takes 2^128 tries, so no key is
-/// needed, and all processes find the same.
+/// It is 128 bits of unkeyed BLAKE3: forging a request with the fingerprint of a given other one takes 2^128
+/// tries, and without a key all processes compute the same value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// Fingerprint of the parts that make a request what it is, in their order.
+    /// Returns the fingerprint of the parts that identify a request, in order.
     pub fn of(parts: &[&[u8]]) -> Fingerprint {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
-            // With its length before each, two lists of parts never give the same bytes.
+            // The length prefix keeps two different lists of parts from hashing the same bytes.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -25,7 +25,7 @@
         Fingerprint(bytes)
     }
 
-    /// Its first 8 bytes as a number.
+    /// Returns the first 8 bytes as a big-endian number.
     pub fn short(&self) -> u64 {
         let (first, _) = self.0.split_at(8);
         first.iter().fold(0, |n, b| n << 8 | u64::from(*b))
--- a/crates/base/src/header.rs
+++ b/crates/base/src/header.rs
@@ -1,51 +1,51 @@
 //! Names of the HTTP headers that driftnotch reads and writes.
 //!
 //! Callers see `Idempotency-Key`, `Retry-After` and the `driftnotch-…` headers of the first
-//! group; the second group travels between entries and agents, the third to model engines.
+//! group. The second group is used between entries and agents, the third with model engines.
 
-/// Workspace the caller belongs to.
+/// Workspace of the caller.
 pub const WORKSPACE: &str = "driftnotch-workspace";
 /// `true` marks a request that is unsafe to repeat.
 pub const UNSAFE: &str = "driftnotch-unsafe";
-/// Time the caller still gives the request, in milliseconds.
+/// Remaining time until the deadline of the request, in milliseconds.
 pub const DEADLINE: &str = "driftnotch-deadline-ms";
-/// Key that makes resends of an unsafe request idempotent.
+/// Key that makes retries of an unsafe request idempotent.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Priority from 0 (lowest) to 9; may only lower that of the row.
+/// Priority from 0 (lowest) to 9; it can only lower the priority of the row.
 pub const PRIORITY: &str = "driftnotch-priority";
-/// Outcome told to the caller: `done`, `not-run` or `unknown`.
+/// Outcome reported to the caller: `done`, `not-run` or `unknown`.
 pub const OUTCOME: &str = "driftnotch-outcome";
-/// Request id, on every answer.
+/// Request id; set on every response.
 pub const REQUEST: &str = "driftnotch-request";
-/// `true` where an answer is the recorded one of an earlier run.
+/// `true` if the response is the recorded one of an earlier run.
 pub const REPLAYED: &str = "driftnotch-replayed";
 /// Failure domain that ran the request.
 pub const RAN_IN: &str = "driftnotch-ran-in";
 
-/// Version the request is pinned to: a manifest digest, or `service`.
+/// Version that the request is pinned to: a manifest digest, or `service`.
 pub const VERSION: &str = "driftnotch-version";
 /// Model or service name of the row.
 pub const MODEL: &str = "driftnotch-model";
-/// Revision of the table the entry admitted the request by.
+/// Revision of the table under which the entry admitted the request.
 pub const REVISION: &str = "driftnotch-revision";
-/// Reason of a definite refusal by an agent; the request has not run and will not.
+/// Reason why an agent refused the request, which has not run and will not run there.
 pub const REFUSED: &str = "driftnotch-refused";
-/// Requests running at the agent, carried back on every answer.
+/// Number of requests in flight at the agent; set on every response.
 pub const LOAD: &str = "driftnotch-load";
-/// Incarnation of the agent that answers.
+/// Incarnation of the responding agent.
 pub const INCARNATION: &str = "driftnotch-incarnation";
 
-/// Digest of the weights an engine ran the request with.
+/// Digest of the weights with which an engine ran the request.
 pub const ENGINE_DIGEST: &str = "engine-digest";
-/// Request id as an engine echoes it.
+/// Request id echoed by an engine.
 pub const ENGINE_REQUEST: &str = "engine-request";
-/// Fencing number of an order to an engine.
+/// Fencing token of an order to an engine.
 pub const ENGINE_FENCE: &str = "engine-fence";
-/// Id of a request an entry wants settled: sealed if it has not started, else told of.
+/// Id of a request to settle: the agent seals it if it has not started, else reports its state.
 pub const SETTLE: &str = "driftnotch-settle";
-/// What became of a request to be settled.
+/// State of a request to settle.
 pub const SETTLED: &str = "driftnotch-settled";
-/// Failure domain that sends.
+/// Failure domain of the sender.
 pub const DOMAIN: &str = "driftnotch-domain";
-/// Chunks a peer holds of the version, as hex digits of four chunks each; on its answers.
+/// Bitmap of the chunks of the version that a peer holds, four chunks to a hex digit; set on its responses.
 pub const HAVE: &str = "driftnotch-have";
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,8 +1,7 @@
-//! Words shared by every part of driftnotch.
+//! Types and names shared by all parts of driftnotch.
 //!
-//! Ids are type aliases; a few of them have a checked form (`Digest`). The outcome a caller is
-//! told, and the names of the HTTP headers that carry it, live here so that callers, entries,
-//! agents and the bench read one definition.
+//! Ids are type aliases, except those with a checked form, such as [`Digest`]. The outcomes of
+//! requests and the names of HTTP headers are defined here, for callers, entries, agents and the lab alike.
 
 pub mod digest;
 pub mod fingerprint;
@@ -22,7 +21,7 @@
 pub use place::{Domains, Place};
 pub use settled::Settled;
 
-/// A fast hasher, seeded anew in each process.
+/// Fast hasher with a random seed.
 pub type RandomHasher = foldhash::fast::RandomState;
 
 /// Hash map with a fast hasher.
--- a/crates/base/src/nearest.rs
+++ b/crates/base/src/nearest.rs
@@ -1,25 +1,25 @@
-//! Finds the name a writer most likely meant.
+//! Suggestions for mistyped names, by edit distance.
 
-/// Names further away than this are not suggested.
-const MAX_DISTANCE: usize = 3;
+/// Largest edit distance at which a name is suggested.
+const MAX_EDIT_DISTANCE: usize = 3;
 
-/// The candidate nearest to `word`, where one is near enough.
+/// Returns the candidate closest to `word`, if one is close enough.
 pub fn nearest<'a>(word: &str, candidates: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     candidates
         .into_iter()
-        .map(|c| (distance(word, c), c))
-        .filter(|(d, c)| *d <= MAX_DISTANCE && *d < c.chars().count())
+        .map(|c| (edit_distance(word, c), c))
+        .filter(|(d, c)| *d <= MAX_EDIT_DISTANCE && *d < c.chars().count())
         .min()
         .map(|(_, c)| c)
 }
 
-/// `; did you mean X?` where a near candidate exists, else nothing.
+/// Returns `; did you mean X?` if a candidate is close enough, else an empty string.
 pub fn hint<'a>(word: &str, candidates: impl IntoIterator<Item = &'a str>) -> String {
     nearest(word, candidates).map_or(String::new(), |c| format!("; did you mean {c}?"))
 }
 
-/// Edit distance with one row of memory.
-fn distance(a: &str, b: &str) -> usize {
+/// Returns the Levenshtein distance, computed with one row of the matrix in memory.
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -1,20 +1,20 @@
-//! What a caller is told about its request.
+//! Outcome of a request, as reported to its caller.
 
 use std::fmt;
 
 /// Outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It ran, and the whole answer is here.
+    /// It ran, and the response is complete.
     Done,
-    /// It did not run and never will under this request id.
+    /// It did not run and will not run under this request id.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The word in the outcome header.
+    /// Returns the value of the outcome header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Done => "done",
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The outcome a header value names, if any.
+    /// Parses a value of the outcome header.
     pub fn parse(s: &str) -> Option<Outcome> {
         match s {
             "done" => Some(Outcome::Done),
--- a/crates/base/src/place.rs
+++ b/crates/base/src/place.rs
@@ -1,4 +1,4 @@
-//! Places: failure domains and the regions that group them.
+//! Places: failure domains, and regions, which are groups of them.
 
 use std::fmt;
 
@@ -7,17 +7,17 @@
 /// Prefix that marks a region in a list of places.
 const REGION_PREFIX: &str = "region:";
 
-/// A place a row may name.
+/// Place in which a row of the table may run.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Place {
-    /// One failure domain.
+    /// A failure domain.
     Domain(DomainName),
-    /// Every failure domain of a region.
+    /// All failure domains of a region.
     Region(RegionName),
 }
 
 impl Place {
-    /// Reads `recife` or `region:nordeste`.
+    /// Parses a place such as `recife` or `region:nordeste`.
     pub fn parse(s: &str) -> Place {
         match s.strip_prefix(REGION_PREFIX) {
             Some(region) => Place::Region(region.to_owned()),
@@ -35,34 +35,34 @@
     }
 }
 
-/// The failure domains of a deployment, each with its region.
+/// Failure domains of a deployment, each with its region.
 #[derive(Debug, Clone, Default)]
 pub struct Domains {
     list: Vec<(DomainName, RegionName)>,
 }
 
 impl Domains {
-    /// Domains in the given order.
+    /// Creates a set of failure domains, kept in the given order.
     pub fn new(list: Vec<(DomainName, RegionName)>) -> Domains {
         Domains { list }
     }
 
-    /// Names of all failure domains.
+    /// Returns the names of all failure domains.
     pub fn names(&self) -> impl Iterator<Item = &DomainName> {
         self.list.iter().map(|(name, _)| name)
     }
 
-    /// Whether a failure domain of this name exists.
+    /// Returns whether there is a failure domain of this name.
     pub fn contains(&self, domain: &str) -> bool {
         self.names().any(|name| name == domain)
     }
 
-    /// Whether the place names something that exists.
+    /// Returns whether the place has at least one of these failure domains.
     pub fn contains_place(&self, place: &Place) -> bool {
         self.names().any(|name| self.is_within(name, place))
     }
 
-    /// Whether the failure domain lies within the place.
+    /// Returns whether the failure domain is one of these and lies within the place.
     pub fn is_within(&self, domain: &str, place: &Place) -> bool {
         match place {
             Place::Domain(name) => name == domain && self.contains(domain),
--- a/crates/base/src/settled.rs
+++ b/crates/base/src/settled.rs
@@ -1,22 +1,22 @@
-//! What an agent says of a request it is asked to settle.
+//! State of a request that an agent is asked to settle.
 
 use std::fmt;
 
 /// State of an unsafe request at an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Settled {
-    /// It has not started and is barred from starting.
+    /// It has not started and can no longer start.
     Sealed,
-    /// It runs.
+    /// It is running.
     Running,
-    /// It ran; the answer follows.
+    /// It ran; the response follows.
     Done,
-    /// It ran, or may have; the answer is gone.
+    /// It ran, or may have run; its response is no longer available.
     Gone,
 }
 
 impl Settled {
-    /// The word in the header.
+    /// Returns the value of the header.
     pub fn as_str(self) -> &'static str {
         match self {
             Settled::Sealed => "sealed",
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The state a header value names, if any.
+    /// Parses a value of the header.
     pub fn parse(s: &str) -> Option<Settled> {
         match s {
             "sealed" => Some(Settled::Sealed),
--- a/crates/base/tests/base.rs
+++ b/crates/base/tests/base.rs
@@ -1,4 +1,4 @@
-//! Digests, units and nearest names.
+//! Digests, outcomes, units and suggestions of names.
 
 use base::nearest::nearest;
 use base::units::{format_bytes, format_duration, parse_bytes, parse_duration};
@@ -6,14 +6,14 @@
 use proptest::prelude::*;
 
 #[test]
-fn near_names_are_found_and_far_ones_are_not() {
+fn suggests_close_names_only() {
     assert_eq!(nearest("aply", ["get", "plan", "apply"]), Some("apply"));
     assert_eq!(nearest("xyzzy", ["get", "plan", "apply"]), None);
 }
 
 #[test]
-fn units_are_needed() {
-    for bad in [
+fn rejects_values_without_a_valid_unit() {
+    for invalid in [
         "",
         "5",
         "ms",
@@ -22,15 +22,15 @@
         "99999999999999999999s",
         "999999999999999999h",
     ] {
-        assert!(parse_duration(bad).is_err(), "{bad:?}");
+        assert!(parse_duration(invalid).is_err(), "{invalid:?}");
     }
-    for bad in ["", "5", "5KB", "99999999999GiB"] {
-        assert!(parse_bytes(bad).is_err(), "{bad:?}");
+    for invalid in ["", "5", "5KB", "99999999999GiB"] {
+        assert!(parse_bytes(invalid).is_err(), "{invalid:?}");
     }
 }
 
 #[test]
-fn outcomes_are_read_as_they_are_written() {
+fn parses_formatted_outcomes() {
     for o in [Outcome::Done, Outcome::NotRun, Outcome::Unknown] {
         assert_eq!(Outcome::parse(o.as_str()), Some(o));
     }
@@ -41,14 +41,14 @@
     #![proptest_config(cases::cases(500))]
 
     #[test]
-    fn durations_and_sizes_are_read_as_they_are_shown(n in 0u64..1 << 40) {
+    fn parses_formatted_durations_and_sizes(n in 0u64..1 << 40) {
         let d = std::time::Duration::from_millis(n);
         prop_assert_eq!(parse_duration(&format_duration(d)).expect("a duration"), d);
         prop_assert_eq!(parse_bytes(&format_bytes(n)).expect("a size"), n);
     }
 
     #[test]
-    fn no_text_is_read_as_a_digest_but_64_hex_digits(text in "\\PC{0,80}") {
+    fn parses_only_64_hex_digits_as_a_digest(text in "\\PC{0,80}") {
         if let Ok(digest) = text.parse::<Digest>() {
             prop_assert_eq!(digest.to_string(), text.to_lowercase());
         }
--- a/crates/cases/src/lib.rs
+++ b/crates/cases/src/lib.rs
@@ -1,15 +1,15 @@
-//! How many cases property tests run, from which seed. For tests only.
+//! Number of cases and seed of property tests. For tests only.
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// Seed where `PROPTEST_RNG_SEED` gives none.
-const SEED: u64 = 20_261_202;
+/// Seed used unless `PROPTEST_RNG_SEED` is set.
+const DEFAULT_SEED: u64 = 20_261_202;
 
-/// A configuration of `n` cases from a fixed seed, which is printed; `PROPTEST_CASES` and
-/// `PROPTEST_RNG_SEED` change them for a longer run.
+/// Returns a configuration of `n` cases from a fixed seed, and prints both. `PROPTEST_CASES` and
+/// `PROPTEST_RNG_SEED` override them, for longer runs.
 pub fn cases(n: u32) -> Config {
-    let cases = number("PROPTEST_CASES").map_or(n, |n| n as u32);
-    let seed = number("PROPTEST_RNG_SEED").unwrap_or(SEED);
+    let cases = env_number("PROPTEST_CASES").map_or(n, |n| n as u32);
+    let seed = env_number("PROPTEST_RNG_SEED").unwrap_or(DEFAULT_SEED);
     println!("{cases} cases from seed {seed}");
     Config {
         cases,
@@ -19,6 +19,6 @@
     }
 }
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of the platform.
+//! Errors of the platform.
 
 use displaydoc::Display;
 
@@ -7,20 +7,20 @@
 pub enum PlatformError {
     /// the platform is down or unreachable ({0}); nothing was written, try again later
     Unavailable(String),
-    /// the platform's answer was lost ({0}); the write may have taken effect, read it back
+    /// the platform's response was lost ({0}); the write may have taken effect, read it back
     ResponseLost(String),
-    /// another writer was first; read the new state and decide again
+    /// another write came first; read the new state and decide again
     Conflict,
-    /// the platform answered {0}; check its address in the settings
+    /// the platform responded with status {0}; check its address in the settings
     Refused(u16),
-    /// the platform's answer makes no sense ({0}); check its address in the settings
+    /// the platform's response is invalid ({0}); check its address in the settings
     InvalidResponse(String),
 }
 
 impl std::error::Error for PlatformError {}
 
 impl PlatformError {
-    /// Whether a write can have taken effect all the same.
+    /// Returns whether a failed write may have taken effect.
     pub fn may_have_written(&self) -> bool {
         matches!(
             self,
--- a/crates/store/src/kv.rs
+++ b/crates/store/src/kv.rs
@@ -1,4 +1,4 @@
-//! Conditional reads and writes of small values.
+//! Conditional reads and writes of small values in a key-value service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,65 +13,65 @@
 /// Entity tag of a value.
 pub type Tag = String;
 
-/// Largest value, in bytes.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE: usize = 16 << 20;
 
 /// Result of a conditional read.
 #[derive(Debug)]
 pub enum ReadResult {
-    /// The value is still the one with the tag given.
+    /// The value still has the given tag.
     Unchanged,
     /// There is no value.
     Absent,
-    /// A value with its tag.
+    /// The value and its tag.
     Value(Bytes, Tag),
 }
 
-/// Condition under which a write is refused.
+/// Condition under which a write is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unless {
-    /// Refuse if there is a value.
+    /// The key has a value.
     Present,
-    /// Refuse if the value's tag is another.
+    /// The tag of the value differs from this one.
     Changed(Tag),
 }
 
-/// One write of a transaction.
+/// A write of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Op {
     /// Key.
     pub key: String,
-    /// Condition.
+    /// Condition under which the transaction is rejected.
     pub unless: Unless,
     /// New value.
     pub value: String,
-    /// Seconds until the service may forget the value; `None` keeps it.
+    /// Time to live in seconds; `None` for values without expiry.
     pub ttl_s: Option<u64>,
 }
 
-/// A transaction: all writes take effect or none.
+/// A transaction, whose writes take effect all or none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Transaction {
     /// Writes.
     pub ops: Vec<Op>,
 }
 
-/// Answer to a committed transaction.
+/// Response to a committed transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Committed {
     /// New tag of each value, in the order of the writes.
     pub tags: Vec<Tag>,
 }
 
-/// Answer to a refused transaction.
+/// Response to a rejected transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Keys whose condition failed.
+    /// Keys whose condition was met.
     pub keys: Vec<String>,
 }
 
-/// A service of keys and values.
+/// Client of a key-value service.
 #[derive(Debug, Clone)]
 pub struct Kv {
     client: Client,
@@ -80,7 +80,7 @@
 }
 
 impl Kv {
-    /// The service at an address; the dial's timeout bounds each answer, too.
+    /// Creates a client of the service at `addr`. The connect timeout also bounds each call.
     pub fn new(addr: SocketAddr, dial: DialOptions) -> Kv {
         Kv {
             client: Client::new(dial),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads a value unless it still has the tag.
+    /// Reads a value, unless its tag is still `known`.
     pub async fn get(&self, path: &str, known: Option<&Tag>) -> Result<ReadResult, PlatformError> {
         let mut req = request(Method::GET, path, Bytes::new())?;
         if let Some(tag) = known {
@@ -103,11 +103,11 @@
             }
             StatusCode::NOT_MODIFIED => Ok(ReadResult::Unchanged),
             StatusCode::NOT_FOUND => Ok(ReadResult::Absent),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Writes a value under a condition, or without one.
+    /// Writes a value, unless the condition is met.
     pub async fn put(
         &self,
         path: &str,
@@ -124,16 +124,16 @@
         match status {
             StatusCode::OK | StatusCode::CREATED | StatusCode::NO_CONTENT => Ok(()),
             StatusCode::PRECONDITION_FAILED => Err(PlatformError::Conflict),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Commits a transaction; the inner error names the keys whose condition failed.
+    /// Commits a transaction. The inner error lists the keys whose condition was met.
     pub async fn commit(
         &self,
         ops: Vec<Op>,
     ) -> Result<Result<Vec<Tag>, Vec<String>>, PlatformError> {
-        let buf = serde_json::to_vec(&Transaction { ops }).expect("plain data");
+        let buf = serde_json::to_vec(&Transaction { ops }).expect("a transaction serializes");
         let req = request(Method::POST, "/transaction", buf.into())?;
         let (status, _, buf) = self.call(req).await?;
         match status {
@@ -143,7 +143,7 @@
             StatusCode::PRECONDITION_FAILED => serde_json::from_slice(&buf)
                 .map(|Refusal { keys }| Err(keys))
                 .map_err(|e| PlatformError::InvalidResponse(e.to_string())),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
@@ -173,11 +173,11 @@
         .map_err(|e| PlatformError::InvalidResponse(e.to_string()))
 }
 
-/// An answer that is neither success nor conflict; the service says it wrote nothing.
-fn refused(status: StatusCode) -> PlatformError {
+/// Returns the error for a status other than success or conflict, with which nothing was written.
+fn status_error(status: StatusCode) -> PlatformError {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            PlatformError::Unavailable(format!("it answered {status}"))
+            PlatformError::Unavailable(format!("it responded with status {status}"))
         }
         status => PlatformError::Refused(status.as_u16()),
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! The platform, through a narrow set of functions.
+//! Client of the platform.
 //!
-//! Everything the platform gives (a transactional table, an object store, a list of VMs and the
-//! origin of weights) is met here and nowhere else, by HTTP with conditional requests and ranges.
-//! docs/PLATFORM.md writes the protocol down. Every failure says whether a write can have taken
-//! effect, because that decides what a caller may be told.
+//! The platform provides a transactional table, an object store, a list of VMs and the origin of
+//! weights. This crate holds all access to them, by HTTP with conditional requests and ranges; the
+//! protocol is documented in docs/PLATFORM.md. Each error tells whether a write may have taken
+//! effect, on which the outcome reported to a caller depends.
 
 pub mod error;
 pub mod kv;
--- a/crates/store/src/member.rs
+++ b/crates/store/src/member.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of VMs.
+//! The platform's list of VMs, which lags behind their actual state.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::{Kv, PlatformError, ReadResult, Tag};
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberRole {
@@ -21,13 +21,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Up.
+    /// Running.
     Live,
-    /// About to go.
+    /// About to be removed.
     Leaving,
 }
 
-/// A VM as the platform lists it.
+/// Entry of a VM in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Id.
@@ -36,25 +36,25 @@
     pub role: MemberRole,
     /// Failure domain.
     pub domain: DomainName,
-    /// Control address of an entry; request address of an upstream's agent.
+    /// Control address of an entry, or request address of the agent of an upstream.
     pub addr: SocketAddr,
     /// State.
     pub state: MemberState,
 }
 
-/// Access to the list.
+/// Client of the list of VMs.
 #[derive(Debug, Clone)]
 pub struct Members {
     kv: Kv,
 }
 
 impl Members {
-    /// The list of a service.
+    /// Creates a client of the list in a service.
     pub fn new(kv: Kv) -> Members {
         Members { kv }
     }
 
-    /// The list with its tag; `None` where it still has the tag given.
+    /// Reads the list and its tag; `None` if the tag is still `known`.
     pub async fn list(
         &self,
         known: Option<&Tag>,
--- a/crates/store/src/objects.rs
+++ b/crates/store/src/objects.rs
@@ -5,19 +5,19 @@
 
 use crate::{Kv, PlatformError, ReadResult};
 
-/// Access to the manifests.
+/// Client of the manifests.
 #[derive(Debug, Clone)]
 pub struct Objects {
     kv: Kv,
 }
 
 impl Objects {
-    /// Manifests in an object store.
+    /// Creates a client of the manifests in an object store.
     pub fn new(kv: Kv) -> Objects {
         Objects { kv }
     }
 
-    /// The manifest of a version, checked against its digest; `None` where none is published.
+    /// Reads the manifest of a version and verifies its digest; `None` if none is published.
     pub async fn manifest(&self, version: Digest) -> Result<Option<Manifest>, PlatformError> {
         match self.kv.get(&path(version), None).await? {
             ReadResult::Value(buf, _) => Manifest::decode(&buf, version)
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Publishes a manifest. Writing the same one again changes nothing.
+    /// Publishes a manifest and returns its version. The operation is idempotent.
     pub async fn publish(&self, manifest: &Manifest) -> Result<Digest, PlatformError> {
         let version = manifest.digest();
         let buf = manifest.encode().into();
--- a/crates/store/src/origin.rs
+++ b/crates/store/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights: ranged reads of whole versions.
+//! The origin of weights, which serves byte ranges of versions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use crate::PlatformError;
 
-/// Access to the origin.
+/// Client of the origin.
 #[derive(Debug, Clone)]
 pub struct Origin {
     client: Client,
@@ -19,7 +19,7 @@
 }
 
 impl Origin {
-    /// The origin at an address; the dial's timeout bounds each read and write, too.
+    /// Creates a client of the origin at `addr`. The connect timeout also bounds each read and write.
     pub fn new(addr: SocketAddr, dial: DialOptions) -> Origin {
         Origin {
             client: Client::new(dial),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Bytes `first` to `end` (exclusive) of a version. They are as yet unchecked.
+    /// Reads the bytes of a version from `first` to `end` (exclusive), without verifying them.
     pub async fn range(
         &self,
         version: Digest,
@@ -50,7 +50,7 @@
             .map_err(|e| PlatformError::ResponseLost(e.to_string()))
     }
 
-    /// Publishes the bytes of a chunk of a version. Writing the same bytes again changes nothing.
+    /// Publishes the bytes of a version from `first` on. The operation is idempotent.
     pub async fn publish(
         &self,
         version: Digest,
--- a/crates/store/src/tables.rs
+++ b/crates/store/src/tables.rs
@@ -1,22 +1,22 @@
-//! The table's editions in the platform's table service.
+//! Editions of the table in the platform's table service.
 //!
-//! `table/current` holds the edition in force and `table/revision/N` each accepted one. Both are
-//! written in one transaction, so an edit either is in force and in the history or is neither.
+//! `table/current` holds the current edition and `table/revision/N` each accepted one. Both are written in
+//! one transaction: an edit is either current and in the history, or in neither.
 
 use base::{Revision, new_request_id, unix_ms};
 use table::Edition;
 
 use crate::{Kv, Op, PlatformError, ReadResult, Tag, Unless};
 
-const CURRENT: &str = "table/current";
+const CURRENT_KEY: &str = "table/current";
 
-/// Times a lost write is looked up before its fate is called unknown.
-const READ_BACKS: u32 = 5;
+/// Reads after a lost response before the outcome of the write is reported as unknown.
+const MAX_READ_BACKS: u32 = 5;
 
-/// Pause between two look-ups of a lost write.
-const READ_BACK_PAUSE: std::time::Duration = std::time::Duration::from_millis(200);
+/// Interval between these reads.
+const READ_BACK_INTERVAL: std::time::Duration = std::time::Duration::from_millis(200);
 
-/// The edition in force as it was read, with the tag its successor must match.
+/// The current edition, and the tag that the write of its successor has to match.
 #[derive(Debug, Clone)]
 pub struct Current {
     /// Edition.
@@ -25,21 +25,21 @@
     pub tag: Option<Tag>,
 }
 
-/// Access to the editions.
+/// Client of the editions.
 #[derive(Debug, Clone)]
 pub struct Tables {
     kv: Kv,
 }
 
 impl Tables {
-    /// Editions in a table service.
+    /// Creates a client of the editions in a table service.
     pub fn new(kv: Kv) -> Tables {
         Tables { kv }
     }
 
-    /// The edition in force; `None` where it still has the tag given.
+    /// Reads the current edition; `None` if its tag is still `known`.
     pub async fn current(&self, known: Option<&Tag>) -> Result<Option<Current>, PlatformError> {
-        match self.kv.get(&format!("/kv/{CURRENT}"), known).await? {
+        match self.kv.get(&format!("/kv/{CURRENT_KEY}"), known).await? {
             ReadResult::Unchanged => Ok(None),
             ReadResult::Absent => Ok(Some(Current {
                 edition: Edition::initial(),
@@ -52,11 +52,11 @@
         }
     }
 
-    /// An accepted edition, or `None` where there is none of that revision.
+    /// Reads the accepted edition of a revision, if there is one.
     pub async fn revision(&self, revision: Revision) -> Result<Option<Edition>, PlatformError> {
         match self
             .kv
-            .get(&format!("/kv/{}", key_of(revision)), None)
+            .get(&format!("/kv/{}", revision_key(revision)), None)
             .await?
         {
             ReadResult::Value(buf, _) => parse(&buf).map(Some),
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Writes the successor of `base`. Returns it once its write is known to have taken effect.
+    /// Writes the successor of `base`, and returns it once its write is known to have taken effect.
     ///
-    /// A lost answer is settled by reading the revision back and looking for the edit's own id.
+    /// If the response is lost, the revision is read back and compared with the id of the edit.
     ///
     /// # Errors
-    /// `Conflict` where another edit won; `Down` where nothing was written; `Lost` where the
-    /// platform could not say within the read-backs.
+    /// `Conflict` if another edit came first, `Unavailable` if nothing was written, and `ResponseLost` if the
+    /// outcome is still unknown after the last read.
     pub async fn apply(
         &self,
         base: &Current,
@@ -84,40 +84,41 @@
             at_ms: unix_ms(),
             csv,
         };
-        let value = serde_json::to_string(&edition).expect("plain data");
+        let value = serde_json::to_string(&edition).expect("an edition serializes");
         let unless = base.tag.clone().map_or(Unless::Present, Unless::Changed);
         let ops = vec![
-            op(CURRENT.to_owned(), unless, value.clone()),
-            op(key_of(edition.revision), Unless::Present, value),
+            op(CURRENT_KEY.to_owned(), unless, value.clone()),
+            op(revision_key(edition.revision), Unless::Present, value),
         ];
         match self.kv.commit(ops).await {
             Ok(Ok(_)) => Ok(edition),
-            // A resend below us may have been refused by its own first try: look before believing.
-            Ok(Err(_)) => self.settle(edition, PlatformError::Conflict).await,
-            Err(e) if e.may_have_written() => self.settle(edition, e).await,
+            // A lower layer may have resent the request, and the second copy is then rejected because the
+            // first took effect. A read therefore verifies the conflict.
+            Ok(Err(_)) => self.verify_write(edition, PlatformError::Conflict).await,
+            Err(e) if e.may_have_written() => self.verify_write(edition, e).await,
             Err(e) => Err(e),
         }
     }
 
-    /// Finds out what became of a write whose answer was lost or contradicted.
+    /// Determines by reads whether a write with a lost response or a reported conflict took effect.
     ///
-    /// An absent revision proves nothing after a lost answer: the write may still be on its way.
-    async fn settle(
+    /// An absent revision proves nothing, since the write may still be in transit.
+    async fn verify_write(
         &self,
         edition: Edition,
         cause: PlatformError,
     ) -> Result<Edition, PlatformError> {
-        let mut last = cause;
-        for _ in 0..READ_BACKS {
+        let mut last_error = cause;
+        for _ in 0..MAX_READ_BACKS {
             match self.revision(edition.revision).await {
                 Ok(Some(found)) if found.edit == edition.edit => return Ok(edition),
                 Ok(Some(_)) => return Err(PlatformError::Conflict),
                 Ok(None) => {}
-                Err(e) => last = PlatformError::ResponseLost(e.to_string()),
+                Err(e) => last_error = PlatformError::ResponseLost(e.to_string()),
             }
-            tokio::time::sleep(READ_BACK_PAUSE).await;
+            tokio::time::sleep(READ_BACK_INTERVAL).await;
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
@@ -130,7 +131,7 @@
     }
 }
 
-fn key_of(revision: Revision) -> String {
+fn revision_key(revision: Revision) -> String {
     format!("table/revision/{revision}")
 }
 
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -1,4 +1,4 @@
-//! Pooled client that says whether a request can have reached its server.
+//! Client with a connection pool, whose errors tell whether a request can have reached the server.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -11,55 +11,55 @@
 
 use crate::Body;
 
-/// Idle connections kept for each server.
-const IDLE_PER_HOST: usize = 64;
+/// Maximum number of idle connections per server.
+const MAX_IDLE_PER_HOST: usize = 64;
 
-/// How long an idle connection is kept.
-const IDLE_TIME: Duration = Duration::from_secs(30);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time without a packet after which a connection is probed, and between two probes: one that fell
-/// silent for good shows in no other way.
-const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Idle time before the first TCP keep-alive probe, and interval between probes. Without probes, an idle
+/// connection to an unreachable peer is never detected.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Probes without an answer after which a connection is given up.
-const PROBES: u32 = 3;
+/// Unanswered keep-alive probes after which a connection is closed.
+const KEEPALIVE_RETRIES: u32 = 3;
 
-/// Time after which a connection whose packets aren't acknowledged is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+/// Time for which sent data may stay unacknowledged before the connection is closed (`TCP_USER_TIMEOUT`).
+const USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why no answer came.
+/// Why a request got no response.
 #[derive(Debug, Display)]
 pub enum SendError {
     /// no connection to {0} ({1}); no byte of the request was sent
     NotSent(SocketAddr, String),
-    /// {0} gave no whole answer ({1}); the request may have run
+    /// the response of {0} was lost ({1}); the request may have run
     ResponseLost(SocketAddr, String),
-    /// {0} gave no answer within {1:?}; the request may have run
+    /// {0} did not respond within {1:?}; the request may have run
     TimedOut(SocketAddr, Duration),
 }
 
 impl std::error::Error for SendError {}
 
 impl SendError {
-    /// Whether the server can have seen the request.
+    /// Returns whether the server can have received the request.
     pub fn may_have_run(&self) -> bool {
         !matches!(self, SendError::NotSent(..))
     }
 }
 
-/// How connections are made.
+/// Options for outgoing connections.
 #[derive(Debug, Clone, Copy)]
 pub struct DialOptions {
-    /// Longest wait for a connection.
+    /// Connect timeout.
     pub timeout: Duration,
-    /// Address that connections come from; `None` leaves it to the system.
+    /// Local address to bind; `None` lets the system choose.
     pub source: Option<IpAddr>,
-    /// Whether connections are kept for later requests.
+    /// Whether connections are reused for later requests.
     pub keep_alive: bool,
 }
 
 impl DialOptions {
-    /// Connections from any address.
+    /// Creates options with a connect timeout, any local address, and connections that are reused.
     pub fn with_timeout(timeout: Duration) -> DialOptions {
         DialOptions {
             timeout,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The same, each connection for one request.
+    /// Uses a new connection for each request.
     pub fn without_keep_alive(self) -> DialOptions {
         DialOptions {
             keep_alive: false,
@@ -77,56 +77,56 @@
     }
 }
 
-/// Client with a pool of connections.
+/// HTTP client with a connection pool.
 #[derive(Debug, Clone)]
 pub struct Client {
     pool: Pool<HttpConnector, Body>,
 }
 
 impl Client {
-    /// A client.
+    /// Creates a client.
     pub fn new(dial: DialOptions) -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(dial.timeout));
         connector.set_local_address(dial.source);
-        connector.set_keepalive(Some(PROBE_INTERVAL));
-        connector.set_keepalive_interval(Some(PROBE_INTERVAL));
-        connector.set_keepalive_retries(Some(PROBES));
-        connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+        connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+        connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
+        connector.set_tcp_user_timeout(Some(USER_TIMEOUT));
         let pool = Pool::builder(TokioExecutor::new())
             .pool_max_idle_per_host(match dial.keep_alive {
-                true => IDLE_PER_HOST,
+                true => MAX_IDLE_PER_HOST,
                 false => 0,
             })
-            .pool_idle_timeout(IDLE_TIME)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_timer(TokioTimer::new())
             .build(connector);
         Client { pool }
     }
 
-    /// Sends a request whose URI holds a path only, and waits for the head of the answer.
+    /// Sends a request to `to` and waits for the response head. Only path and query of its URI are used.
     pub async fn send(
         &self,
         to: SocketAddr,
         mut req: hyper::Request<Body>,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<hyper::Response<Incoming>, SendError> {
         let path = req.uri().path_and_query().map_or("/", |p| p.as_str());
         *req.uri_mut() = format!("http://{to}{path}")
             .parse()
             .map_err(|e| SendError::NotSent(to, format!("{e}")))?;
-        match tokio::time::timeout(within, self.pool.request(req)).await {
+        match tokio::time::timeout(timeout, self.pool.request(req)).await {
             Ok(Ok(res)) => Ok(res),
-            Ok(Err(e)) if e.is_connect() => Err(SendError::NotSent(to, cause(&e))),
-            Ok(Err(e)) => Err(SendError::ResponseLost(to, cause(&e))),
-            Err(_) => Err(SendError::TimedOut(to, within)),
+            Ok(Err(e)) if e.is_connect() => Err(SendError::NotSent(to, root_cause(&e))),
+            Ok(Err(e)) => Err(SendError::ResponseLost(to, root_cause(&e))),
+            Err(_) => Err(SendError::TimedOut(to, timeout)),
         }
     }
 }
 
-/// The innermost cause of an error.
-fn cause(e: &dyn std::error::Error) -> String {
+/// Returns the text of the innermost source of an error.
+fn root_cause(e: &dyn std::error::Error) -> String {
     std::iter::successors(Some(e), |e| e.source())
         .last()
         .map_or(String::new(), |e| e.to_string())
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 on both sides, by `hyper`: bounded servers, pooled clients, small bodies.
+//! HTTP/1.1 with `hyper`: servers with limits, clients with connection pools, and bodies.
 
 pub mod body;
 pub mod client;
@@ -8,20 +8,20 @@
 pub use client::{Client, DialOptions, SendError};
 pub use server::{ServerLimits, StopSignal, serve};
 
-/// A request as a server gets it.
+/// Request received by a server.
 pub type Request = hyper::Request<hyper::body::Incoming>;
 
-/// A response as a server gives it.
+/// Response returned by a server.
 pub type Response = hyper::Response<Body>;
 
-/// A plain-text answer.
+/// Creates a plain-text response.
 pub fn text(status: u16, s: impl Into<String>) -> Response {
     let mut res = hyper::Response::new(full(s.into()));
-    *res.status_mut() = hyper::StatusCode::from_u16(status).expect("a known status");
+    *res.status_mut() = hyper::StatusCode::from_u16(status).expect("valid status code");
     res
 }
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn json(status: u16, s: impl Into<String>) -> Response {
     let mut res = text(status, s);
     let value = hyper::header::HeaderValue::from_static("application/json");
@@ -29,12 +29,12 @@
     res
 }
 
-/// A header as text, where it is there and is text.
+/// Returns the value of a header, if it is present and visible ASCII.
 pub fn header<'a>(headers: &'a hyper::HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok())
 }
 
-/// Sets a header; a value that is no header text is left out.
+/// Sets a header; does nothing if the value is not a valid header value.
 pub fn set_header(headers: &mut hyper::HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = hyper::header::HeaderValue::from_str(value) {
         headers.insert(name, value);
--- a/crates/web/src/server.rs
+++ b/crates/web/src/server.rs
@@ -1,4 +1,4 @@
-//! Bounded server: one task for each connection, drained at a planned stop.
+//! Server with limits: one task per connection, and a drain on shutdown.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -13,24 +13,24 @@
 
 use crate::{Request, Response};
 
-/// Pause after a failed accept, so that a lack of descriptors doesn't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which prevents a busy loop when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Connections at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Longest wait for a head.
+    /// Timeout for reading a request head.
     pub header_timeout: Duration,
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest drain at a planned stop.
+    /// Maximum duration of the drain on shutdown.
     pub drain_timeout: Duration,
 }
 
 impl ServerLimits {
-    /// Limits for admin servers and stand-ins.
+    /// Returns limits for admin servers and stand-ins.
     pub fn internal() -> ServerLimits {
         ServerLimits {
             max_connections: 4096,
@@ -41,10 +41,11 @@
     }
 }
 
-/// Receives `true` when a planned stop begins.
+/// Receives `true` when a graceful shutdown begins.
 pub type StopSignal = watch::Receiver<bool>;
 
-/// Serves until a planned stop, then lets running requests end within the drain time.
+/// Serves connections until a graceful shutdown begins, then drains requests in flight within the drain
+/// timeout. Connections over the limit are closed.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: ServerLimits,
@@ -66,19 +67,19 @@
                 let watcher = graceful.watcher();
                 let handler = handler.clone();
                 tokio::spawn(async move {
-                    connection(stream, limits, watcher, handler).await;
+                    serve_connection(stream, limits, watcher, handler).await;
                     drop(slot);
                 });
             }
             (Ok((stream, _)), Err(_)) => drop(stream),
-            (Err(_), _) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            (Err(_), _) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
     drop(listener);
     let _ = tokio::time::timeout(limits.drain_timeout, graceful.shutdown()).await;
 }
 
-async fn connection<H, F>(
+async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: ServerLimits,
     watcher: hyper_util::server::graceful::Watcher,
@@ -89,14 +90,14 @@
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |req| {
-        let answer = handler(req);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(req);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.header_timeout)
         .max_buf_size(limits.max_header_bytes)
         .serve_connection(TokioIo::new(stream), service);
-    // A broken connection is the peer's affair; its request is handled where it runs.
+    // Connection errors are ignored here: the peer detects them, and the handler deals with its request.
     let _ = watcher.watch(conn).await;
 }
