--- a/crates/burn/src/counts.rs
+++ b/crates/burn/src/counts.rs
@@ -1,46 +1,46 @@
-//! What is counted.
+//! Counters of requests, first tokens and streams.
 
 use serde::{Deserialize, Serialize};
 
-/// Counts of some requests.
+/// Counts of a group of requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests that ended, callers' own faults left out.
+    /// Completed requests, except those that failed through a fault of their caller.
     pub ended: u64,
-    /// Of these, requests without a whole answer.
+    /// Of these, requests without a complete response.
     pub unserved: u64,
-    /// Answers whose first token was timed.
+    /// Responses whose time to first token was measured.
     pub first: u64,
-    /// Of these, later than the bound.
+    /// Of these, responses over the bound.
     pub first_late: u64,
-    /// Streams whose time between tokens was taken.
+    /// Streams whose time between tokens was measured.
     pub streams: u64,
-    /// Of these, slower than the bound.
+    /// Of these, streams over the bound.
     pub streams_slow: u64,
 }
 
-/// What happened to a request.
+/// Event of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// It ended, with a whole answer or not.
+    /// The request completed.
     Completed {
-        /// Whether its caller has a whole answer.
+        /// Whether its caller received a complete response.
         served: bool,
     },
-    /// Its first token came, in time or not.
+    /// Its time to first token was measured.
     FirstToken {
-        /// Whether it was later than the bound.
+        /// Whether the time to first token was over the bound.
         late: bool,
     },
-    /// Its stream ended.
+    /// Its time between tokens was measured.
     Stream {
-        /// Whether its tokens came slower than the bound.
+        /// Whether the time between tokens was over the bound.
         slow: bool,
     },
 }
 
 impl Counts {
-    /// Counts an event.
+    /// Records an event.
     pub fn record(&mut self, event: Event) {
         match event {
             Event::Completed { served } => {
--- a/crates/burn/src/history.rs
+++ b/crates/burn/src/history.rs
@@ -1,4 +1,4 @@
-//! Counts by the minute, for each row and workspace.
+//! Counts per minute, row and workspace.
 
 use std::collections::VecDeque;
 
@@ -7,13 +7,13 @@
 
 use crate::{Counts, Event};
 
-/// Minutes kept.
+/// Retention in minutes.
 pub const HISTORY_MINUTES: u64 = 360;
 
-/// Series kept; events of further rows and workspaces go to one series named `other`.
+/// Maximum number of series; events of further rows and workspaces go to one series named `other`.
 const MAX_SERIES: usize = 1000;
 
-/// Name of what is beyond that.
+/// Row and workspace of the series for all events over [`MAX_SERIES`].
 const OTHER: &str = "other";
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -28,24 +28,24 @@
     counts: Counts,
 }
 
-/// Counts of one entry.
+/// Counts of an entry.
 #[derive(Debug, Default)]
 pub struct History {
     series: Map<Key, VecDeque<Minute>>,
 }
 
-/// Counts of one row and workspace.
+/// Counts of a row and workspace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Series {
     /// Row.
     pub row: String,
     /// Workspace.
     pub workspace: String,
-    /// Pairs of a minute's age and its counts.
+    /// Age in minutes and counts of each minute.
     pub minutes: Vec<(u64, Counts)>,
 }
 
-/// Counts of one entry, as it tells them.
+/// Counts of an entry, as sent to the operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHistory {
     /// Failure domain.
@@ -55,17 +55,17 @@
 }
 
 impl History {
-    /// Counts an event in a minute since the start.
+    /// Records an event in a minute, numbered from the start of the process.
     pub fn record(&mut self, minute: u64, row: &str, workspace: &str, event: Event) {
         let key = |row: &str, workspace: &str| Key {
             row: row.to_owned(),
             workspace: workspace.to_owned(),
         };
-        let mut k = key(row, workspace);
-        if self.series.len() >= MAX_SERIES && !self.series.contains_key(&k) {
-            k = key(OTHER, OTHER);
+        let mut series = key(row, workspace);
+        if self.series.len() >= MAX_SERIES && !self.series.contains_key(&series) {
+            series = key(OTHER, OTHER);
         }
-        let minutes = self.series.entry(k).or_default();
+        let minutes = self.series.entry(series).or_default();
         if minutes.back().is_none_or(|m| m.minute < minute) {
             let counts = Counts::default();
             minutes.push_back(Minute { minute, counts });
@@ -81,7 +81,7 @@
         }
     }
 
-    /// All series as seen in a minute since the start; empty ones are dropped.
+    /// Returns all series as of a minute, numbered from the start of the process, and removes expired ones.
     pub fn snapshot(&mut self, now: u64) -> Vec<Series> {
         self.series.retain(|_, minutes| {
             minutes
--- a/crates/burn/src/lib.rs
+++ b/crates/burn/src/lib.rs
@@ -1,9 +1,9 @@
-//! Service-level burn: how much of an error budget is used, and how fast.
+//! Error budgets of service-level objectives and their burn rates.
 //!
-//! Each entry keeps counts by the minute, for each row and workspace ([`History`]). The operator's
-//! command collects them from all entries and works out, for each objective and each failure
-//! domain, row and workspace, the share that was good, the budget left and the burn over a fast
-//! and a slow window ([`Report`]). A burn of 1 uses the budget up exactly within its period.
+//! Each entry counts requests per minute, row and workspace ([`History`]). The operator's command
+//! collects the counts of all entries and computes, for each objective and each failure domain, row
+//! and workspace, the remaining budget and the burn rate over a fast and a slow window ([`Report`]).
+//! A burn rate of 1 spends the budget exactly within its period.
 
 pub mod counts;
 pub mod history;
--- a/crates/burn/src/report.rs
+++ b/crates/burn/src/report.rs
@@ -1,4 +1,4 @@
-//! The report.
+//! Report of error budgets and burn rates.
 
 use std::collections::BTreeMap;
 
@@ -9,52 +9,52 @@
 /// Fast window, in minutes.
 pub const FAST_WINDOW: u64 = 60;
 
-/// Slow window, in minutes; also the period the budget is for, as VMs keep nothing longer.
+/// Slow window, in minutes. It is also the period of the budget, since VMs retain counts no longer.
 pub const SLOW_WINDOW: u64 = HISTORY_MINUTES;
 
-/// An objective: so many of 1000 must be good.
+/// Service-level objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Objective {
-    /// Good ones in 1000.
+    /// Target for good events, in thousandths.
     pub per_mille: u64,
 }
 
 /// Objectives of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct Objectives {
-    /// Requests with a whole answer.
+    /// Requests with a complete response.
     pub available: Objective,
-    /// First tokens within their bound.
+    /// Responses whose time to first token is within the bound.
     pub first_token: Objective,
-    /// Streams within the bound between tokens.
+    /// Streams whose time between tokens is within the bound.
     pub between_tokens: Objective,
 }
 
 /// Figures of one objective for one failure domain, row or workspace.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Line {
-    /// `domain`, `row` or `workspace`.
+    /// Kind of group: `domain`, `row` or `workspace`.
     pub by: &'static str,
-    /// Its name.
+    /// Name of the group.
     pub name: String,
     /// Objective.
     pub objective: &'static str,
     /// Events in the slow window.
     pub events: u64,
-    /// Of these, bad ones.
+    /// Bad events among them.
     pub bad: u64,
-    /// Share of the budget left, from 1 to below 0.
+    /// Remaining fraction of the budget: 1 if unused, negative if overspent.
     pub budget_left: f64,
-    /// Burn over the fast window.
+    /// Burn rate over the fast window.
     pub fast_burn: f64,
-    /// Burn over the slow window.
+    /// Burn rate over the slow window.
     pub slow_burn: f64,
 }
 
-/// The report.
+/// Error budgets of all groups and objectives.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// Lines, by what they are for, then by name and objective.
+    /// Lines, ordered by kind and name of the group, then by objective.
     pub lines: Vec<Line>,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Objective {
-    /// Burn: the bad share over the share that may be bad. 0 where nothing happened.
+    /// Returns the burn rate, which is the fraction of bad events over the allowed fraction; 0 without events.
     pub fn burn(self, events: u64, bad: u64) -> f64 {
         let allowed = (1000 - self.per_mille.min(1000)) as f64 / 1000.0;
         match (events, bad) {
@@ -77,7 +77,7 @@
 }
 
 impl Report {
-    /// Works the report out from what all entries told.
+    /// Computes the report from the counts of all entries.
     pub fn new(entries: &[EntryHistory], objectives: &Objectives) -> Report {
         let mut groups: BTreeMap<(&'static str, &str), Windows> = BTreeMap::new();
         for entry in entries {
--- a/crates/burn/tests/report.rs
+++ b/crates/burn/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report against arithmetic worked by hand.
+//! Reports compared with results computed by hand.
 
 use burn::{EntryHistory, Event, History, Objective, Objectives, Report, Series};
 
@@ -10,20 +10,20 @@
     }
 }
 
-fn note(h: &mut History, minute: u64, row: &str, workspace: &str, good: u32, bad: u32) {
+fn record(h: &mut History, minute: u64, row: &str, workspace: &str, good: u32, bad: u32) {
     for i in 0..good + bad {
         let served = i < good;
         h.record(minute, row, workspace, Event::Completed { served });
     }
 }
 
-/// Row `m` at one entry: 1000 requests three hours ago of which 10 bad, 100 now of which 5 bad;
-/// row `n`: 900 now, all good.
-fn known() -> EntryHistory {
+/// History of one entry. Row `m`: 1000 requests three hours ago, 10 of them bad, and 100 now, 5 of them
+/// bad. Row `n`: 900 requests now, all good.
+fn sample_history() -> EntryHistory {
     let mut h = History::default();
-    note(&mut h, 0, "m", "large", 990, 10);
-    note(&mut h, 180, "m", "small", 95, 5);
-    note(&mut h, 180, "n", "large", 900, 0);
+    record(&mut h, 0, "m", "large", 990, 10);
+    record(&mut h, 180, "m", "small", 95, 5);
+    record(&mut h, 180, "n", "large", 900, 0);
     EntryHistory {
         domain: "recife".into(),
         series: h.snapshot(180),
@@ -35,55 +35,58 @@
     report.lines.iter().find(same).expect("a line")
 }
 
-fn close(a: f64, b: f64) {
+fn assert_close(a: f64, b: f64) {
     assert!((a - b).abs() < 1e-9, "{a} is not {b}");
 }
 
 #[test]
-fn each_figure_follows_from_the_counts() {
-    let report = Report::new(&[known()], &objectives());
+fn computes_budgets_and_burn_rates_from_counts() {
+    let report = Report::new(&[sample_history()], &objectives());
     let domain = line(&report, "domain", "recife", "available");
-    // 15 bad of 2000 against 1% allowed: 0.0075 / 0.01.
+    // 15 bad of 2000, 1% allowed: 0.0075 / 0.01.
     assert_eq!((domain.events, domain.bad), (2000, 15));
-    close(domain.slow_burn, 0.75);
-    close(domain.budget_left, 0.25);
-    // In the last hour 5 bad of 1000: 0.005 / 0.01.
-    close(domain.fast_burn, 0.5);
+    assert_close(domain.slow_burn, 0.75);
+    assert_close(domain.budget_left, 0.25);
+    // In the last hour, 5 bad of 1000: 0.005 / 0.01.
+    assert_close(domain.fast_burn, 0.5);
     let row = line(&report, "row", "m", "available");
     // 15 of 1100 overall; 5 of 100 in the last hour.
-    close(row.slow_burn, 15.0 / 1100.0 / 0.01);
-    close(row.fast_burn, 5.0);
+    assert_close(row.slow_burn, 15.0 / 1100.0 / 0.01);
+    assert_close(row.fast_burn, 5.0);
     let small = line(&report, "workspace", "small", "available");
-    close(small.budget_left, 1.0 - 5.0);
-    let quiet = line(&report, "domain", "recife", "first token");
+    assert_close(small.budget_left, 1.0 - 5.0);
+    let unused = line(&report, "domain", "recife", "first token");
     assert_eq!(
-        (quiet.events, quiet.slow_burn, quiet.budget_left),
+        (unused.events, unused.slow_burn, unused.budget_left),
         (0, 0.0, 1.0)
     );
 }
 
 #[test]
-fn entries_of_one_domain_are_added_up() {
-    let report = Report::new(&[known(), known()], &objectives());
+fn adds_counts_of_entries_of_a_domain() {
+    let report = Report::new(&[sample_history(), sample_history()], &objectives());
     let domain = line(&report, "domain", "recife", "available");
     assert_eq!((domain.events, domain.bad), (4000, 30));
-    close(domain.slow_burn, 0.75);
+    assert_close(domain.slow_burn, 0.75);
 }
 
 #[test]
-fn what_is_older_than_the_slow_window_is_forgotten() {
+fn drops_counts_older_than_the_slow_window() {
     let mut h = History::default();
-    note(&mut h, 0, "m", "w", 0, 7);
-    note(&mut h, burn::HISTORY_MINUTES, "m", "w", 3, 0);
+    record(&mut h, 0, "m", "w", 0, 7);
+    record(&mut h, burn::HISTORY_MINUTES, "m", "w", 3, 0);
     let minutes = |series: Vec<Series>| series[0].minutes.clone();
-    let told = minutes(h.snapshot(burn::HISTORY_MINUTES));
-    assert_eq!(told.len(), 1);
-    assert_eq!((told[0].0, told[0].1.ended, told[0].1.unserved), (0, 3, 0));
+    let series = minutes(h.snapshot(burn::HISTORY_MINUTES));
+    assert_eq!(series.len(), 1);
+    assert_eq!(
+        (series[0].0, series[0].1.ended, series[0].1.unserved),
+        (0, 3, 0)
+    );
     assert!(h.snapshot(3 * burn::HISTORY_MINUTES).is_empty());
 }
 
 #[test]
-fn late_first_tokens_and_slow_streams_have_their_own_budgets() {
+fn late_first_tokens_and_slow_streams_have_separate_budgets() {
     let mut h = History::default();
     for i in 0..20 {
         h.record(5, "m", "w", Event::FirstToken { late: i < 2 });
@@ -94,23 +97,23 @@
         series: h.snapshot(5),
     };
     let report = Report::new(&[entry], &objectives());
-    // 2 of 20 against 5% allowed; 1 of 20 against 5% allowed.
-    close(line(&report, "row", "m", "first token").slow_burn, 2.0);
-    close(line(&report, "row", "m", "between tokens").slow_burn, 1.0);
+    // 2 of 20 and 1 of 20, 5% allowed each.
+    assert_close(line(&report, "row", "m", "first token").slow_burn, 2.0);
+    assert_close(line(&report, "row", "m", "between tokens").slow_burn, 1.0);
 }
 
 #[test]
-fn series_beyond_the_bound_share_one() {
+fn groups_series_over_the_limit_into_one() {
     let mut h = History::default();
     for i in 0..1500 {
-        note(&mut h, 1, &format!("row{i}"), "w", 1, 0);
+        record(&mut h, 1, &format!("row{i}"), "w", 1, 0);
     }
-    let told = h.snapshot(1);
-    assert!(told.len() <= 1001);
-    let all: u64 = told
+    let series = h.snapshot(1);
+    assert!(series.len() <= 1001);
+    let all: u64 = series
         .iter()
         .flat_map(|s| &s.minutes)
         .map(|(_, c)| c.ended)
         .sum();
-    assert_eq!(all, 1500, "none is lost");
+    assert_eq!(all, 1500, "no event is lost");
 }
--- a/crates/weights/src/lib.rs
+++ b/crates/weights/src/lib.rs
@@ -1,8 +1,8 @@
-//! Weights: what a version consists of, and the chunks a VM holds of it.
+//! Weights: manifests of versions, and the store of a VM's chunks.
 //!
-//! A version is a manifest: the list of its chunks' digests in order. The digest of the manifest
-//! names the version everywhere, so one digest vouches for every byte. Chunks are content
-//! addressed: two versions that share a chunk share its bytes.
+//! A version is described by its manifest, the list of the digests of its chunks in order. The digest
+//! of the manifest identifies the version, and thereby verifies all of its bytes. Chunks are content
+//! addressed: versions that have a chunk in common share its bytes.
 
 pub mod manifest;
 pub mod store;
--- a/crates/weights/src/manifest.rs
+++ b/crates/weights/src/manifest.rs
@@ -1,4 +1,4 @@
-//! Manifest of one version.
+//! Manifest of a version.
 
 use std::io::Read;
 
@@ -6,13 +6,13 @@
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// Default size of a chunk, in bytes.
+/// Default chunk size, in bytes.
 pub const DEFAULT_CHUNK_BYTES: u32 = 1 << 20;
 
-/// Most chunks one manifest may list.
+/// Maximum number of chunks in a manifest.
 pub const MAX_CHUNKS: usize = 1 << 20;
 
-/// Chunks of one version, in order.
+/// Chunks of a version, in order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
@@ -24,7 +24,7 @@
     pub chunks: Vec<Digest>,
 }
 
-/// Why a manifest was refused.
+/// Why a manifest was rejected.
 #[derive(Debug, Display)]
 pub enum ManifestError {
     /// the weights cannot be read ({0}); check the path and its permissions
@@ -33,16 +33,16 @@
     Syntax(serde_json::Error),
     /// the manifest's digest is {found}, not {wanted}; publish the weights again
     Digest {
-        /// Digest that was asked for.
+        /// Expected digest.
         wanted: Digest,
-        /// Digest of what came.
+        /// Actual digest.
         found: Digest,
     },
-    /// {bytes} bytes in chunks of {chunk_bytes} make no {chunks} chunks; publish the weights again
+    /// {bytes} bytes in chunks of {chunk_bytes} bytes do not make {chunks} chunks; publish the weights again
     Shape {
         /// Size of the weights in bytes.
         bytes: u64,
-        /// Size of a chunk in bytes.
+        /// Chunk size in bytes.
         chunk_bytes: u32,
         /// Number of chunks listed.
         chunks: usize,
@@ -52,7 +52,7 @@
 impl std::error::Error for ManifestError {}
 
 impl Manifest {
-    /// Reads weights to their end and lists their chunks.
+    /// Creates the manifest of weights, which are read to their end.
     pub fn from_reader(mut src: impl Read, chunk_bytes: u32) -> Result<Manifest, ManifestError> {
         let mut chunks = Vec::new();
         let mut bytes = 0;
@@ -78,17 +78,17 @@
         Ok(manifest)
     }
 
-    /// The bytes whose digest names the version.
+    /// Returns the encoded manifest, whose digest identifies the version.
     pub fn encode(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a manifest is plain data")
+        serde_json::to_vec(self).expect("a manifest serializes")
     }
 
-    /// Digest that names the version.
+    /// Returns the digest that identifies the version.
     pub fn digest(&self) -> Digest {
         Digest::of(&self.encode())
     }
 
-    /// Reads a manifest and holds it against the digest that was asked for.
+    /// Decodes a manifest and verifies its digest.
     pub fn decode(buf: &[u8], wanted: Digest) -> Result<Manifest, ManifestError> {
         let found = Digest::of(buf);
         if found != wanted {
@@ -99,7 +99,7 @@
         Ok(manifest)
     }
 
-    /// Range of bytes that chunk `i` covers: first byte, and the byte after the last.
+    /// Returns the byte range of chunk `i`: its start, and its exclusive end.
     pub fn range(&self, i: usize) -> (u64, u64) {
         let first = i as u64 * u64::from(self.chunk_bytes);
         let end = (first + u64::from(self.chunk_bytes)).min(self.bytes);
@@ -108,12 +108,12 @@
 
     fn check_shape(&self) -> Result<(), ManifestError> {
         let chunk_bytes = u64::from(self.chunk_bytes.max(1));
-        let wanted = self.bytes.div_ceil(chunk_bytes);
-        let fits = self.chunk_bytes > 0
+        let expected = self.bytes.div_ceil(chunk_bytes);
+        let is_consistent = self.chunk_bytes > 0
             && self.bytes > 0
-            && wanted == self.chunks.len() as u64
+            && expected == self.chunks.len() as u64
             && self.chunks.len() <= MAX_CHUNKS;
-        if fits {
+        if is_consistent {
             return Ok(());
         }
         Err(ManifestError::Shape {
--- a/crates/weights/tests/weights.rs
+++ b/crates/weights/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Manifests and chunks.
+//! Manifests and the chunk store.
 
 use base::Digest;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_manifest_with_one_byte_changed_is_refused() {
+fn rejects_a_manifest_with_a_changed_byte() {
     let manifest = Manifest::from_reader(&[7u8; 1000][..], 100).expect("a manifest");
     let mut buf = manifest.encode();
     buf[10] ^= 1;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_manifest_whose_numbers_dont_fit_is_refused() {
+fn rejects_a_manifest_with_inconsistent_sizes() {
     for text in [
         r#"{"bytes":10,"chunk_bytes":0,"chunks":[]}"#,
         r#"{"bytes":0,"chunk_bytes":4,"chunks":[]}"#,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_bad_chunk_and_one_larger_than_the_store_are_not_kept() {
+fn rejects_corrupt_and_oversized_chunks() {
     let mut store = ChunkStore::new(100);
     let ((a, buf), (b, _)) = (chunk(1, 50), chunk(2, 50));
     assert!(matches!(
@@ -49,7 +49,7 @@
     let (big, big_buf) = chunk(3, 101);
     assert_eq!(store.put(big, big_buf), Err(StoreError::TooLarge(101, 100)));
     assert_eq!(store.stored_bytes(), 0);
-    store.put(a, buf).expect("kept");
+    store.put(a, buf).expect("chunk is accepted");
     assert_eq!(store.stored_bytes(), 50);
 }
 
@@ -57,7 +57,7 @@
     #![proptest_config(cases::cases(300))]
 
     #[test]
-    fn the_ranges_of_a_manifest_cover_the_weights_once(len in 1usize..5000, chunk in 1u32..700) {
+    fn ranges_of_a_manifest_partition_the_weights(len in 1usize..5000, chunk in 1u32..700) {
         let weights: Vec<u8> = (0..len).map(|i| i as u8).collect();
         let manifest = Manifest::from_reader(weights.as_slice(), chunk).expect("a manifest");
         let mut joined = Vec::new();
@@ -73,7 +73,7 @@
     }
 
     #[test]
-    fn a_store_stays_within_its_bound_and_keeps_the_newest(puts in prop::collection::vec((0u8..20, 1usize..60), 1..60)) {
+    fn store_stays_within_its_bound_and_retains_the_newest_chunk(puts in prop::collection::vec((0u8..20, 1usize..60), 1..60)) {
         let mut store = ChunkStore::new(200);
         for (n, len) in puts {
             let (digest, buf) = chunk(n, len);
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Messages to and from the generated code.
+//! Conversion of messages to and from the generated Cap'n Proto code.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -13,26 +13,26 @@
     Holding, Peer, Replica, Rollout, WireError,
 };
 
-type Read<T> = Result<T, WireError>;
+type Decoded<T> = Result<T, WireError>;
 
-fn garbled(what: &str) -> WireError {
+fn invalid(what: &str) -> WireError {
     WireError::InvalidMessage(what.to_owned())
 }
 
-fn string(t: text::Reader) -> Read<String> {
+fn read_string(t: text::Reader) -> Decoded<String> {
     Ok(t.to_str()?.to_owned())
 }
 
-fn parse<T: FromStr>(t: text::Reader, what: &str) -> Read<T> {
-    t.to_str()?.parse().map_err(|_| garbled(what))
+fn parse_text<T: FromStr>(t: text::Reader, what: &str) -> Decoded<T> {
+    t.to_str()?.parse().map_err(|_| invalid(what))
 }
 
-fn version(t: text::Reader) -> Read<Version> {
-    Version::parse(t.to_str()?).ok_or_else(|| garbled("version"))
+fn read_version(t: text::Reader) -> Decoded<Version> {
+    Version::parse(t.to_str()?).ok_or_else(|| invalid("version"))
 }
 
-fn addrs(list: text_list::Reader) -> Read<Vec<SocketAddr>> {
-    list.iter().map(|t| parse(t?, "address")).collect()
+fn read_addrs(list: text_list::Reader) -> Decoded<Vec<SocketAddr>> {
+    list.iter().map(|t| parse_text(t?, "address")).collect()
 }
 
 fn write_addrs(mut list: text_list::Builder, addrs: &[SocketAddr]) {
@@ -41,20 +41,20 @@
     }
 }
 
-/// Reads who an agent is.
-pub fn read_info(r: c::agent_info::Reader) -> Read<AgentInfo> {
+/// Reads the description of an agent.
+pub fn read_info(r: c::agent_info::Reader) -> Decoded<AgentInfo> {
     Ok(AgentInfo {
-        vm: string(r.get_vm()?)?,
-        domain: string(r.get_domain()?)?,
+        vm: read_string(r.get_vm()?)?,
+        domain: read_string(r.get_domain()?)?,
         incarnation: r.get_incarnation(),
-        listen: parse(r.get_listen()?, "address")?,
-        peer: parse(r.get_peer()?, "address")?,
+        listen: parse_text(r.get_listen()?, "address")?,
+        peer: parse_text(r.get_peer()?, "address")?,
         service: r.get_service(),
         repeatable: r.get_repeatable(),
     })
 }
 
-/// Writes who an agent is.
+/// Writes the description of an agent.
 pub fn write_info(mut b: c::agent_info::Builder, info: &AgentInfo) {
     b.set_vm(info.vm.as_str());
     b.set_domain(info.domain.as_str());
@@ -66,11 +66,11 @@
 }
 
 /// Reads a heartbeat.
-pub fn read_heartbeat(r: c::beat::Reader) -> Read<Heartbeat> {
+pub fn read_heartbeat(r: c::beat::Reader) -> Decoded<Heartbeat> {
     let holdings = r.get_holdings()?.iter().map(|h| {
         Ok(Holding {
-            model: string(h.get_model()?)?,
-            version: version(h.get_version()?)?,
+            model: read_string(h.get_model()?)?,
+            version: read_version(h.get_version()?)?,
             live: h.get_live(),
             permille: h.get_permille(),
         })
@@ -79,7 +79,7 @@
         revision: r.get_revision(),
         running: r.get_running(),
         leaving: r.get_leaving(),
-        holdings: holdings.collect::<Read<_>>()?,
+        holdings: holdings.collect::<Decoded<_>>()?,
         entries_seen: r.get_entries_seen(),
         same_holdings: r.get_same_holdings(),
     })
@@ -102,54 +102,54 @@
     }
 }
 
-fn read_fresh(r: c::freshness::Reader) -> Freshness {
+fn read_freshness(r: c::freshness::Reader) -> Freshness {
     Freshness {
         revision: r.get_revision(),
         age: Duration::from_millis(r.get_age_ms()),
     }
 }
 
-fn write_fresh(mut b: c::freshness::Builder, fresh: &Freshness) {
-    b.set_revision(fresh.revision);
-    b.set_age_ms(fresh.age.as_millis() as u64);
+fn write_freshness(mut b: c::freshness::Builder, freshness: &Freshness) {
+    b.set_revision(freshness.revision);
+    b.set_age_ms(freshness.age.as_millis() as u64);
 }
 
-/// Reads the answer to a heartbeat.
-pub fn read_heartbeat_reply(r: c::beat_reply::Reader) -> Read<HeartbeatReply> {
+/// Reads the reply to a heartbeat.
+pub fn read_heartbeat_reply(r: c::beat_reply::Reader) -> Decoded<HeartbeatReply> {
     Ok(HeartbeatReply {
-        freshness: read_fresh(r.get_fresh()?),
+        freshness: read_freshness(r.get_fresh()?),
         interval: Duration::from_millis(r.get_interval_ms().into()),
         leaving: r.get_leaving(),
         entries_seen: r.get_entries_seen(),
-        entries: addrs(r.get_entries()?)?,
+        entries: read_addrs(r.get_entries()?)?,
     })
 }
 
-/// Writes the answer to a heartbeat.
+/// Writes the reply to a heartbeat.
 pub fn write_heartbeat_reply(mut b: c::beat_reply::Builder, reply: &HeartbeatReply) {
-    write_fresh(b.reborrow().init_fresh(), &reply.freshness);
+    write_freshness(b.reborrow().init_fresh(), &reply.freshness);
     b.set_interval_ms(reply.interval.as_millis() as u32);
     b.set_leaving(reply.leaving);
     b.set_entries_seen(reply.entries_seen);
     write_addrs(b.init_entries(reply.entries.len() as u32), &reply.entries);
 }
 
-/// Reads an edition of the table.
-pub fn read_patch(r: c::edition::Reader) -> Read<Patch> {
+/// Reads a patch of the table.
+pub fn read_patch(r: c::edition::Reader) -> Decoded<Patch> {
     Ok(Patch {
         revision: r.get_revision(),
-        edit: string(r.get_edit()?)?,
-        author: string(r.get_author()?)?,
+        edit: read_string(r.get_edit()?)?,
+        author: read_string(r.get_author()?)?,
         at_ms: r.get_at_ms(),
         base: r.get_base(),
         head: r.get_head(),
         tail: r.get_tail(),
-        middle: string(r.get_middle()?)?,
+        middle: read_string(r.get_middle()?)?,
         check: r.get_check(),
     })
 }
 
-/// Writes an edition of the table.
+/// Writes a patch of the table.
 pub fn write_patch(mut b: c::edition::Builder, patch: &Patch) {
     b.set_revision(patch.revision);
     b.set_edit(patch.edit.as_str());
@@ -163,12 +163,12 @@
 }
 
 /// Reads a list of peers.
-pub fn read_peers(list: struct_list::Reader<c::peer::Owned>) -> Read<Vec<Peer>> {
+pub fn read_peers(list: struct_list::Reader<c::peer::Owned>) -> Decoded<Vec<Peer>> {
     let read = |r: c::peer::Reader| {
         Ok(Peer {
-            vm: string(r.get_vm()?)?,
-            domain: string(r.get_domain()?)?,
-            addr: parse(r.get_addr()?, "address")?,
+            vm: read_string(r.get_vm()?)?,
+            domain: read_string(r.get_domain()?)?,
+            addr: parse_text(r.get_addr()?, "address")?,
             leaving: r.get_leaving(),
         })
     };
@@ -186,12 +186,12 @@
     }
 }
 
-fn read_replica(r: c::replica::Reader) -> Read<Replica> {
+fn read_replica(r: c::replica::Reader) -> Decoded<Replica> {
     Ok(Replica {
-        model: string(r.get_model()?)?,
-        version: version(r.get_version()?)?,
-        vm: string(r.get_vm()?)?,
-        listen: parse(r.get_listen()?, "address")?,
+        model: read_string(r.get_model()?)?,
+        version: read_version(r.get_version()?)?,
+        vm: read_string(r.get_vm()?)?,
+        listen: parse_text(r.get_listen()?, "address")?,
         incarnation: r.get_incarnation(),
     })
 }
@@ -204,29 +204,29 @@
     b.set_incarnation(replica.incarnation);
 }
 
-fn read_rollout(r: c::rollout::Reader) -> Read<Rollout> {
+fn read_rollout(r: c::rollout::Reader) -> Decoded<Rollout> {
     Ok(Rollout {
-        version: version(r.get_version()?)?,
+        version: read_version(r.get_version()?)?,
         peers: read_peers(r.get_peers()?)?,
     })
 }
 
-fn read_agent_status(r: c::agent_digest::Reader) -> Read<AgentStatus> {
+fn read_agent_status(r: c::agent_digest::Reader) -> Decoded<AgentStatus> {
     Ok(AgentStatus {
         info: read_info(r.get_info()?)?,
         beat: read_heartbeat(r.get_beat()?)?,
     })
 }
 
-/// Reads a note between entries.
-pub fn read_entry_update(r: c::note::Reader) -> Read<EntryUpdate> {
+/// Reads an update between entries.
+pub fn read_entry_update(r: c::note::Reader) -> Decoded<EntryUpdate> {
     Ok(EntryUpdate {
-        vm: string(r.get_vm()?)?,
-        domain: string(r.get_domain()?)?,
-        control: parse(r.get_control()?, "address")?,
-        freshness: read_fresh(r.get_fresh()?),
+        vm: read_string(r.get_vm()?)?,
+        domain: read_string(r.get_domain()?)?,
+        control: parse_text(r.get_control()?, "address")?,
+        freshness: read_freshness(r.get_fresh()?),
         leaving: r.get_leaving(),
-        entries: addrs(r.get_entries()?)?,
+        entries: read_addrs(r.get_entries()?)?,
         state: r.get_state(),
         applied_state: r.get_seen(),
         has_lists: r.get_told(),
@@ -234,44 +234,44 @@
             .get_agents()?
             .iter()
             .map(read_agent_status)
-            .collect::<Read<_>>()?,
+            .collect::<Decoded<_>>()?,
         replicas: r
             .get_replicas()?
             .iter()
             .map(read_replica)
-            .collect::<Read<_>>()?,
+            .collect::<Decoded<_>>()?,
         rollouts: r
             .get_rollouts()?
             .iter()
             .map(read_rollout)
-            .collect::<Read<_>>()?,
+            .collect::<Decoded<_>>()?,
     })
 }
 
-/// Writes a note between entries.
-pub fn write_entry_update(mut b: c::note::Builder, note: &EntryUpdate) {
-    b.set_vm(note.vm.as_str());
-    b.set_domain(note.domain.as_str());
-    b.set_control(note.control.to_string().as_str());
-    write_fresh(b.reborrow().init_fresh(), &note.freshness);
-    b.set_leaving(note.leaving);
-    let entries = b.reborrow().init_entries(note.entries.len() as u32);
-    write_addrs(entries, &note.entries);
-    b.set_state(note.state);
-    b.set_seen(note.applied_state);
-    b.set_told(note.has_lists);
-    let mut agents = b.reborrow().init_agents(note.agents.len() as u32);
-    for (i, digest) in note.agents.iter().enumerate() {
+/// Writes an update between entries.
+pub fn write_entry_update(mut b: c::note::Builder, update: &EntryUpdate) {
+    b.set_vm(update.vm.as_str());
+    b.set_domain(update.domain.as_str());
+    b.set_control(update.control.to_string().as_str());
+    write_freshness(b.reborrow().init_fresh(), &update.freshness);
+    b.set_leaving(update.leaving);
+    let entries = b.reborrow().init_entries(update.entries.len() as u32);
+    write_addrs(entries, &update.entries);
+    b.set_state(update.state);
+    b.set_seen(update.applied_state);
+    b.set_told(update.has_lists);
+    let mut agents = b.reborrow().init_agents(update.agents.len() as u32);
+    for (i, digest) in update.agents.iter().enumerate() {
         let mut b = agents.reborrow().get(i as u32);
         write_info(b.reborrow().init_info(), &digest.info);
         write_heartbeat(b.init_beat(), &digest.beat);
     }
-    let mut replicas = b.reborrow().init_replicas(note.replicas.len() as u32);
-    for (i, replica) in note.replicas.iter().enumerate() {
+    let mut replicas = b.reborrow().init_replicas(update.replicas.len() as u32);
+    for (i, replica) in update.replicas.iter().enumerate() {
         write_replica(replicas.reborrow().get(i as u32), replica);
     }
-    let mut rollouts = b.init_rollouts(note.rollouts.len() as u32);
-    for (i, rollout) in note.rollouts.iter().enumerate() {
+    let mut rollouts = b.init_rollouts(update.rollouts.len() as u32);
+    for (i, rollout) in update.rollouts.iter().enumerate() {
         let mut b = rollouts.reborrow().get(i as u32);
         b.set_version(rollout.version.to_string().as_str());
         write_peers(b.init_peers(rollout.peers.len() as u32), &rollout.peers);
@@ -279,11 +279,11 @@
 }
 
 /// Reads claims.
-pub fn read_claims(list: struct_list::Reader<c::claim::Owned>) -> Read<Vec<Claim>> {
+pub fn read_claims(list: struct_list::Reader<c::claim::Owned>) -> Decoded<Vec<Claim>> {
     let read = |r: c::claim::Reader| {
         Ok(Claim {
-            key: string(r.get_key()?)?,
-            value: string(r.get_value()?)?,
+            key: read_string(r.get_key()?)?,
+            value: read_string(r.get_value()?)?,
             ttl: Duration::from_secs(r.get_ttl_s()),
         })
     };
@@ -300,9 +300,9 @@
     }
 }
 
-/// Reads what became of a claim.
-pub fn read_claim_outcome(claimed: c::Claimed) -> ClaimOutcome {
-    match claimed {
+/// Converts the outcome of a claim from the generated code.
+pub fn read_claim_outcome(outcome: c::Claimed) -> ClaimOutcome {
+    match outcome {
         c::Claimed::Won => ClaimOutcome::Won,
         c::Claimed::Taken => ClaimOutcome::Taken,
         c::Claimed::Unknown => ClaimOutcome::Unknown,
@@ -310,9 +310,9 @@
     }
 }
 
-/// Writes what became of a claim.
-pub fn write_claim_outcome(claimed: ClaimOutcome) -> c::Claimed {
-    match claimed {
+/// Converts the outcome of a claim to the generated code.
+pub fn write_claim_outcome(outcome: ClaimOutcome) -> c::Claimed {
+    match outcome {
         ClaimOutcome::Won => c::Claimed::Won,
         ClaimOutcome::Taken => c::Claimed::Taken,
         ClaimOutcome::Unknown => c::Claimed::Unknown,
--- a/crates/wire/src/counted.rs
+++ b/crates/wire/src/counted.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of control links.
+//! Byte counters of control links.
 
 use std::io;
 use std::pin::Pin;
@@ -8,10 +8,10 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Metric of control bytes.
+/// Metric of the bytes of control links.
 const METRIC: &str = "driftnotch_control_bytes_total";
 
-/// Bytes of the control links of one process.
+/// Byte counters of the control links of a process.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
     received: Arc<AtomicU64>,
@@ -19,7 +19,7 @@
 }
 
 impl Traffic {
-    /// Bytes received and sent so far.
+    /// Returns the bytes received and sent.
     pub fn bytes(&self) -> (u64, u64) {
         let load = |n: &AtomicU64| n.load(Ordering::Relaxed);
         (load(&self.received), load(&self.sent))
@@ -36,7 +36,7 @@
     }
 }
 
-/// A stream whose bytes are counted.
+/// Stream that counts its bytes.
 #[derive(Debug)]
 pub struct CountedStream<S> {
     stream: S,
@@ -44,7 +44,7 @@
 }
 
 impl<S> CountedStream<S> {
-    /// Counts the bytes of a stream.
+    /// Wraps a stream, whose bytes are added to `traffic`.
     pub fn new(stream: S, traffic: Traffic) -> CountedStream<S> {
         CountedStream { stream, traffic }
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of a control link.
+//! Errors of control links.
 
 use displaydoc::Display;
 
@@ -7,11 +7,11 @@
 pub enum WireError {
     /// no control link to the peer ({0}); check its address and that it runs
     Unreachable(String),
-    /// the control link broke ({0}); it will be made again
+    /// the control link broke ({0}); it will be reestablished
     Broken(String),
-    /// the peer gave no answer in time; the link will be made again
+    /// the peer did not reply in time; the link will be reestablished
     TimedOut,
-    /// the peer's message makes no sense ({0}); run the same version on all VMs
+    /// the peer's message is invalid ({0}); run the same version on all VMs
     InvalidMessage(String),
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! Control links between our own processes, by `capnp-rpc`.
+//! Control links between entries and agents, with `capnp-rpc`.
 //!
-//! Agents link to every entry of their failure domain, and entries to each other. The messages
-//! are typed structs ([`msg`]); [`convert`] writes them to and reads them from the generated code
-//! and refuses what makes no sense. The futures of `capnp-rpc` stay on one thread, so each process
-//! gives its links a thread of their own ([`thread`]).
+//! Each agent has a link to all entries of its failure domain, and entries have links to each other.
+//! Messages are typed structs ([`msg`]), which [`convert`] translates to and from the generated code,
+//! rejecting invalid ones. The futures of `capnp-rpc` are not `Send`, and each process therefore runs
+//! its links on a dedicated thread ([`thread`]).
 
 #[allow(missing_docs, clippy::all)]
 #[rustfmt::skip]
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! One control link: made, called, accepted.
+//! A control link: connecting, accepting, and calls to an entry.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use crate::counted::{CountedStream, Traffic};
 use crate::{AgentInfo, AgentSession, Claim, ClaimOutcome, EntryUpdate, WireError};
 
-/// Largest message, in words of eight bytes.
+/// Maximum size of a message, in words of eight bytes.
 const MAX_MESSAGE_WORDS: usize = 4 << 20;
 
-/// Longest wait for a call that is answered at once.
+/// Timeout of calls that an entry replies to without waiting for an event.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn reader_options() -> ReaderOptions {
@@ -42,7 +42,7 @@
     ))
 }
 
-/// Serves one accepted link until it breaks.
+/// Serves an accepted link until it is closed.
 pub async fn accept(
     stream: TcpStream,
     server: entry::Client,
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-/// A link to an entry. Dropping it closes the connection.
+/// Link to an entry, closed on drop.
 #[derive(Debug)]
 pub struct Link {
     entry: entry::Client,
@@ -73,22 +73,22 @@
 }
 
 impl Link {
-    /// Makes a link; call within a `LocalSet`.
+    /// Connects to an entry. Has to run within a `LocalSet`.
     pub async fn connect(
         to: SocketAddr,
         source: Option<IpAddr>,
         traffic: &Traffic,
     ) -> Result<Link, WireError> {
-        let connected = tokio::time::timeout(CALL_TIMEOUT, dial(to, source)).await;
+        let connected = tokio::time::timeout(CALL_TIMEOUT, connect_from(to, source)).await;
         let stream = match connected {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) => return Err(WireError::Unreachable(format!("{to}: {e}"))),
-            Err(_) => return Err(WireError::Unreachable(format!("{to}: no answer"))),
+            Err(_) => return Err(WireError::Unreachable(format!("{to}: timed out"))),
         };
         let mut rpc = RpcSystem::new(network(stream, Side::Client, traffic), None);
         let client: entry::Client = rpc.bootstrap(Side::Server);
         let driver = tokio::task::spawn_local(async move {
-            // The calls on the link see its end and say so.
+            // An error of the link is returned by the calls on it.
             let _ = rpc.await;
         });
         Ok(Link {
@@ -97,24 +97,24 @@
         })
     }
 
-    /// Joins as an agent.
+    /// Opens a session as an agent.
     pub async fn join(&self, info: &AgentInfo) -> Result<AgentSession, WireError> {
         let mut req = self.entry.join_request();
         convert::write_info(req.get().init_info(), info);
-        let res = timely(req.send().promise).await?;
-        let seat = res.get()?.get_seat()?;
-        Ok(AgentSession::new(seat))
+        let res = with_timeout(req.send().promise).await?;
+        let session = res.get()?.get_seat()?;
+        Ok(AgentSession::new(session))
     }
 
-    /// Exchanges notes with the entry.
-    pub async fn exchange(&self, note: &EntryUpdate) -> Result<EntryUpdate, WireError> {
+    /// Sends an update to the entry and returns its own.
+    pub async fn exchange(&self, update: &EntryUpdate) -> Result<EntryUpdate, WireError> {
         let mut req = self.entry.exchange_request();
-        convert::write_entry_update(req.get().init_note(), note);
-        let res = timely(req.send().promise).await?;
+        convert::write_entry_update(req.get().init_note(), update);
+        let res = with_timeout(req.send().promise).await?;
         convert::read_entry_update(res.get()?.get_note()?)
     }
 
-    /// Waits, for as long as it takes, until the entry has a later revision than `have`.
+    /// Waits, without a timeout, until the entry has a later revision than `have`, and returns it as a patch.
     pub async fn watch(&self, have: base::Revision) -> Result<Patch, WireError> {
         let mut req = self.entry.watch_request();
         req.get().set_have(have);
@@ -122,22 +122,22 @@
         convert::read_patch(res.get()?.get_edition()?)
     }
 
-    /// Hands the entry an edition that it has not.
+    /// Sends an edition that the entry lacks.
     pub async fn offer(&self, edition: &Edition) -> Result<(), WireError> {
         let mut req = self.entry.offer_request();
         convert::write_patch(req.get().init_edition(), &Patch::full(edition));
-        timely(req.send().promise).await.map(drop)
+        with_timeout(req.send().promise).await.map(drop)
     }
 
-    /// Has the entry write claims for this one.
+    /// Asks the entry to write claims on behalf of this one.
     pub async fn claim(
         &self,
         claims: &[Claim],
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Vec<ClaimOutcome>, WireError> {
         let mut req = self.entry.claim_request();
         convert::write_claims(req.get().init_claims(claims.len() as u32), claims);
-        let res = tokio::time::timeout(within, req.send().promise).await;
+        let res = tokio::time::timeout(timeout, req.send().promise).await;
         let res = res.map_err(|_| WireError::TimedOut)??;
         let list = res.get()?.get_results()?;
         let read = list.iter().map(|c| c.map(convert::read_claim_outcome));
@@ -145,7 +145,7 @@
     }
 }
 
-async fn dial(to: SocketAddr, source: Option<IpAddr>) -> std::io::Result<TcpStream> {
+async fn connect_from(to: SocketAddr, source: Option<IpAddr>) -> std::io::Result<TcpStream> {
     let Some(source) = source else {
         return TcpStream::connect(to).await;
     };
@@ -157,8 +157,8 @@
     socket.connect(to).await
 }
 
-/// Waits for a call that is answered at once.
-pub(crate) async fn timely<T>(
+/// Awaits a call for at most [`CALL_TIMEOUT`].
+pub(crate) async fn with_timeout<T>(
     call: impl Future<Output = Result<T, capnp::Error>>,
 ) -> Result<T, WireError> {
     match tokio::time::timeout(CALL_TIMEOUT, call).await {
--- a/crates/wire/src/msg.rs
+++ b/crates/wire/src/msg.rs
@@ -6,10 +6,10 @@
 use base::{DomainName, Incarnation, Model, Revision, VmId};
 use table::Version;
 
-/// Age of what was never confirmed; no hold allows it.
+/// Age of a revision that was never confirmed; longer than any hold.
 pub const NEVER_CONFIRMED: Duration = Duration::from_secs(u32::MAX as u64);
 
-/// Who an agent is.
+/// Description of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentInfo {
     /// VM.
@@ -18,93 +18,93 @@
     pub domain: DomainName,
     /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Where entries send requests.
+    /// Address for requests of entries.
     pub listen: SocketAddr,
-    /// Where peers fetch chunks.
+    /// Address for chunk fetches of peers.
     pub peer: SocketAddr,
     /// Whether the upstream is a plain service.
     pub service: bool,
-    /// Whether a plain service's reads may be repeated.
+    /// Whether reads of a plain service may be retried.
     pub repeatable: bool,
 }
 
-/// A version an agent fetches, holds or has live.
+/// Version that an agent fetches, holds or has live.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holding {
     /// Model.
     pub model: Model,
     /// Version.
     pub version: Version,
-    /// Whether requests may be sent for it.
+    /// Whether it accepts requests.
     pub live: bool,
-    /// Chunks verified, in thousandths.
+    /// Fraction of its chunks verified, in thousandths.
     pub permille: u16,
 }
 
 /// Heartbeat of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Revision of the table it serves by.
+    /// Revision of the table that the agent serves.
     pub revision: Revision,
-    /// Requests running at its upstream.
+    /// Requests in flight at its upstream.
     pub running: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub leaving: bool,
     /// Versions.
     pub holdings: Vec<Holding>,
-    /// State of the entry's list of entries the agent has seen.
+    /// Last state of the entry's list of entries that the agent received.
     pub entries_seen: u64,
-    /// Whether the holdings are those of the last heartbeat on the link, and left out.
+    /// Whether the holdings are unchanged since the last heartbeat on the link, and omitted.
     pub same_holdings: bool,
 }
 
-/// An agent that has joined the entry that tells of it.
+/// Status of an agent that has joined the sending entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentStatus {
-    /// Who it is.
+    /// Description.
     pub info: AgentInfo,
-    /// Its last heartbeat.
+    /// Last heartbeat.
     pub beat: Heartbeat,
 }
 
-/// What revision a process serves by, and how long ago the platform confirmed it.
+/// Revision that a process serves, and the time since its confirmation by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Freshness {
     /// Revision.
     pub revision: Revision,
-    /// Time since the confirmation.
+    /// Time since its confirmation.
     pub age: Duration,
 }
 
-/// Answer to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeartbeatReply {
-    /// The entry's revision.
+    /// Revision of the entry.
     pub freshness: Freshness,
-    /// Time to the next heartbeat.
+    /// Time until the next heartbeat.
     pub interval: Duration,
     /// Whether the platform lists the VM as leaving.
     pub leaving: bool,
     /// State of the entry's list of entries.
     pub entries_seen: u64,
-    /// Control addresses of the domain's entries, where the agent has not seen them.
+    /// Control addresses of the entries of the failure domain; empty if the agent has this state.
     pub entries: Vec<SocketAddr>,
 }
 
-/// An agent that may have chunks.
+/// Agent that may have chunks.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Peer {
     /// VM.
     pub vm: VmId,
     /// Failure domain.
     pub domain: DomainName,
-    /// Where it serves chunks.
+    /// Address for chunk fetches.
     pub addr: SocketAddr,
-    /// Whether it is about to go.
+    /// Whether it is about to be removed.
     pub leaving: bool,
 }
 
-/// An agent of another failure domain with a version live.
+/// Agent of another failure domain that has a version live.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replica {
     /// Model.
@@ -113,7 +113,7 @@
     pub version: Version,
     /// VM.
     pub vm: VmId,
-    /// Where it takes requests.
+    /// Address for requests.
     pub listen: SocketAddr,
     /// Incarnation of the process.
     pub incarnation: Incarnation,
@@ -128,7 +128,7 @@
     pub peers: Vec<Peer>,
 }
 
-/// What entries tell each other.
+/// Update that an entry sends to another one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryUpdate {
     /// VM.
@@ -137,46 +137,46 @@
     pub domain: DomainName,
     /// Control address.
     pub control: SocketAddr,
-    /// Revision.
+    /// Revision and its age.
     pub freshness: Freshness,
     /// Whether the entry is stopping.
     pub leaving: bool,
-    /// Control addresses of the entries it knows.
+    /// Control addresses of entries that the sender knows.
     pub entries: Vec<SocketAddr>,
-    /// State of what the sender tells.
+    /// State of the sender's lists below, a number that increases with each change.
     pub state: u64,
-    /// The last state the sender has of the receiver's.
+    /// Last state of the receiver that the sender applied; 0 for none.
     pub applied_state: u64,
-    /// Whether the lists below are told; else the receiver has them already.
+    /// Whether the lists below are included; they are omitted if the receiver has them.
     pub has_lists: bool,
     /// Within a failure domain: agents that have joined the sender.
     pub agents: Vec<AgentStatus>,
     /// Between failure domains: a bounded sample of live replicas.
     pub replicas: Vec<Replica>,
-    /// Between failure domains: rollouts.
+    /// Between failure domains: rollouts of the sender's failure domain.
     pub rollouts: Vec<Rollout>,
 }
 
-/// A claim on an idempotency key.
+/// Claim on an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
-    /// Key in the platform's table.
+    /// Key in the platform's table service.
     pub key: String,
-    /// Who claims, and for which request.
+    /// Claimant and request.
     pub value: String,
-    /// Time the claim is kept.
+    /// Time to live of the claim.
     pub ttl: Duration,
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// It was written.
     Won,
-    /// Another claim stands.
+    /// The key has another claim.
     Taken,
     /// It may have been written.
     Unknown,
-    /// It was not written; the platform is down.
+    /// It was not written, since the platform is unavailable.
     Unavailable,
 }
--- a/crates/wire/src/session.rs
+++ b/crates/wire/src/session.rs
@@ -1,15 +1,15 @@
-//! An agent's seat at an entry: what it may call once it has joined.
+//! Session of an agent at an entry, with the calls available after joining.
 
 use table::{Edition, Patch, Version};
 
 use crate::control_capnp::seat;
 use crate::convert;
-use crate::link::timely;
+use crate::link::with_timeout;
 use crate::{Heartbeat, HeartbeatReply, Peer, WireError};
 
-/// The agent's end of its seat.
+/// Session of an agent at an entry.
 pub struct AgentSession {
-    seat: seat::Client,
+    client: seat::Client,
 }
 
 impl std::fmt::Debug for AgentSession {
@@ -19,38 +19,38 @@
 }
 
 impl AgentSession {
-    pub(crate) fn new(seat: seat::Client) -> AgentSession {
-        AgentSession { seat }
+    pub(crate) fn new(client: seat::Client) -> AgentSession {
+        AgentSession { client }
     }
 
     /// Sends a heartbeat.
-    pub async fn heartbeat(&self, beat: &Heartbeat) -> Result<HeartbeatReply, WireError> {
-        let mut req = self.seat.beat_request();
-        convert::write_heartbeat(req.get().init_beat(), beat);
-        let res = timely(req.send().promise).await?;
+    pub async fn heartbeat(&self, heartbeat: &Heartbeat) -> Result<HeartbeatReply, WireError> {
+        let mut req = self.client.beat_request();
+        convert::write_heartbeat(req.get().init_beat(), heartbeat);
+        let res = with_timeout(req.send().promise).await?;
         convert::read_heartbeat_reply(res.get()?.get_reply()?)
     }
 
-    /// Waits, for as long as it takes, until the entry has a later revision than `have`.
+    /// Waits, without a timeout, until the entry has a later revision than `have`, and returns it as a patch.
     pub async fn watch(&self, have: base::Revision) -> Result<Patch, WireError> {
-        let mut req = self.seat.watch_request();
+        let mut req = self.client.watch_request();
         req.get().set_have(have);
         let res = req.send().promise.await?;
         convert::read_patch(res.get()?.get_edition()?)
     }
 
-    /// Hands the entry an edition that it has not.
+    /// Sends an edition that the entry lacks.
     pub async fn offer(&self, edition: &Edition) -> Result<(), WireError> {
-        let mut req = self.seat.offer_request();
+        let mut req = self.client.offer_request();
         convert::write_patch(req.get().init_edition(), &Patch::full(edition));
-        timely(req.send().promise).await.map(drop)
+        with_timeout(req.send().promise).await.map(drop)
     }
 
-    /// Agents that fetch or hold a version.
+    /// Returns the agents that fetch or hold a version.
     pub async fn peers(&self, version: &Version) -> Result<Vec<Peer>, WireError> {
-        let mut req = self.seat.peers_request();
+        let mut req = self.client.peers_request();
         req.get().set_version(version.to_string().as_str());
-        let res = timely(req.send().promise).await?;
+        let res = with_timeout(req.send().promise).await?;
         convert::read_peers(res.get()?.get_peers()?)
     }
 }
--- a/crates/wire/src/thread.rs
+++ b/crates/wire/src/thread.rs
@@ -1,11 +1,11 @@
-//! A thread for futures that must stay on one thread.
+//! Dedicated thread for futures that are not `Send`.
 
 use std::future::Future;
 use std::thread::JoinHandle;
 
 use tokio::task::LocalSet;
 
-/// Runs a future, and what it spawns locally, on a named thread of its own until it ends.
+/// Runs a future, and the local tasks that it spawns, on a new named thread until the future completes.
 pub fn spawn<M, F>(name: String, make: M) -> std::io::Result<JoinHandle<()>>
 where
     M: FnOnce() -> F + Send + 'static,
