--- a/crates/table/src/active.rs
+++ b/crates/table/src/active.rs
@@ -1,8 +1,8 @@
-//! The edition a process serves by.
+//! The active edition of the table in a process.
 //!
-//! It only moves forward in revision, whoever offers an edition and in whatever order. Beside it
-//! stands when the platform last confirmed, directly or through others, that nothing newer was in
-//! force; a row's hold runs from then.
+//! Its revision only increases, whatever the order in which editions arrive. The holder also records when
+//! the platform last confirmed, directly or through other processes, that the edition is the current one.
+//! The hold of a row starts at that confirmation.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,40 +13,40 @@
 
 use crate::{Edition, Fault, Patch, Row, Table};
 
-/// An edition with its table read.
+/// An edition and its parsed table.
 #[derive(Debug)]
 pub struct ActiveEdition {
     /// Edition.
     pub edition: Edition,
     /// Table.
     pub table: Table,
-    /// Since when this process serves by it.
+    /// Time since which this process serves it.
     pub since: Instant,
 }
 
-/// Why an edition that came as a patch was not taken.
+/// Why a patch was rejected.
 #[derive(Debug)]
 pub enum PatchError {
-    /// The patch starts from an edition that isn't known here.
+    /// The patch has a base that is not retained, or that it was not made from.
     UnknownBase,
-    /// The table has faults, or doesn't fit this deployment.
+    /// The table has faults, or does not fit this deployment.
     Faults(Vec<Fault>),
 }
 
-/// Editions kept to make patches from and to follow them.
-const KEPT: usize = 64;
+/// Editions retained as bases of patches.
+const MAX_RETAINED: usize = 64;
 
-/// Holder of the edition in force.
+/// Holder of the active edition.
 #[derive(Debug)]
 pub struct ActiveTable {
     domains: Domains,
-    kept: Mutex<VecDeque<Arc<ActiveEdition>>>,
+    retained: Mutex<VecDeque<Arc<ActiveEdition>>>,
     current: watch::Sender<Arc<ActiveEdition>>,
     confirmed: Mutex<Option<Instant>>,
 }
 
 impl ActiveTable {
-    /// A holder of the empty table, as yet unconfirmed.
+    /// Creates a holder of the empty table, without a confirmation.
     pub fn new(domains: Domains) -> ActiveTable {
         let initial = ActiveEdition {
             edition: Edition::initial(),
@@ -55,16 +55,16 @@
         };
         ActiveTable {
             domains,
-            kept: Mutex::default(),
+            retained: Mutex::default(),
             current: watch::Sender::new(Arc::new(initial)),
             confirmed: Mutex::new(None),
         }
     }
 
-    /// Takes an edition if it is newer; says whether it was.
+    /// Activates an edition if it is newer; returns whether it was.
     ///
     /// # Errors
-    /// The faults of a table that doesn't fit this deployment's domains.
+    /// The faults of a table that does not fit the failure domains of this deployment.
     pub fn offer(&self, edition: Edition) -> Result<bool, Vec<Fault>> {
         if edition.revision <= self.revision() {
             return Ok(false);
@@ -78,50 +78,51 @@
         Ok(self.current.send_if_modified(|current| {
             let newer = next.edition.revision > current.edition.revision;
             if newer {
-                self.keep(next.clone());
+                self.retain(next.clone());
                 *current = next;
             }
             newer
         }))
     }
 
-    /// Takes an edition that came as a patch if it is newer; says whether it was.
+    /// Activates the edition that a patch results in if it is newer; returns whether it was.
     pub fn apply_patch(&self, patch: Patch) -> Result<bool, PatchError> {
         if patch.revision <= self.revision() {
             return Ok(false);
         }
-        let base = self.kept(patch.base);
+        let base = self.retained(patch.base);
         let edition = patch
-            .apply(base.as_ref().map(|kept| &kept.edition))
+            .apply(base.as_ref().map(|base| &base.edition))
             .ok_or(PatchError::UnknownBase)?;
         self.offer(edition).map_err(PatchError::Faults)
     }
 
-    /// The edition in force as a patch for one who has a revision.
+    /// Returns the active edition as a patch for a receiver that has the revision `have`.
     pub fn patch_from(&self, have: Revision) -> Patch {
-        let view = self.current();
-        match self.kept(have) {
-            Some(base) => Patch::between(&base.edition, &view.edition),
-            None => Patch::full(&view.edition),
+        let current = self.current();
+        match self.retained(have) {
+            Some(base) => Patch::between(&base.edition, &current.edition),
+            None => Patch::full(&current.edition),
         }
     }
 
-    fn keep(&self, edition: Arc<ActiveEdition>) {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.push_back(edition);
-        if kept.len() > KEPT {
-            kept.pop_front();
+    fn retain(&self, edition: Arc<ActiveEdition>) {
+        let mut retained = self.retained.lock().unwrap_or_else(PoisonError::into_inner);
+        retained.push_back(edition);
+        if retained.len() > MAX_RETAINED {
+            retained.pop_front();
         }
     }
 
-    fn kept(&self, revision: Revision) -> Option<Arc<ActiveEdition>> {
-        let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.iter()
-            .find(|k| k.edition.revision == revision)
+    fn retained(&self, revision: Revision) -> Option<Arc<ActiveEdition>> {
+        let retained = self.retained.lock().unwrap_or_else(PoisonError::into_inner);
+        retained
+            .iter()
+            .find(|e| e.edition.revision == revision)
             .cloned()
     }
 
-    /// Notes that at `at` nothing newer than `revision` was in force.
+    /// Records that no newer edition than `revision` existed at `at`; ignored unless it is the active revision.
     pub fn confirm(&self, revision: Revision, at: Instant) {
         if revision != self.revision() {
             return;
@@ -133,22 +134,22 @@
         *confirmed = (*confirmed).max(Some(at));
     }
 
-    /// The edition in force here.
+    /// Returns the active edition.
     pub fn current(&self) -> Arc<ActiveEdition> {
         self.current.borrow().clone()
     }
 
-    /// Its revision.
+    /// Returns the revision of the active edition.
     pub fn revision(&self) -> Revision {
         self.current.borrow().edition.revision
     }
 
-    /// Follows the editions.
+    /// Subscribes to changes of the active edition.
     pub fn subscribe(&self) -> watch::Receiver<Arc<ActiveEdition>> {
         self.current.subscribe()
     }
 
-    /// Time since the last confirmation; `None` before the first.
+    /// Returns the time since the last confirmation; `None` before the first.
     pub fn confirmation_age(&self) -> Option<Duration> {
         let confirmed = self
             .confirmed
@@ -157,13 +158,13 @@
         confirmed.map(|at| at.elapsed())
     }
 
-    /// Whether a row may be served by now, given its hold.
+    /// Returns whether a row may still be served, given its hold and the last confirmation.
     pub fn may_serve(&self, row: &Row) -> bool {
         self.confirmation_age()
             .is_some_and(|age| row.hold.allows(age))
     }
 
-    /// All failure domains.
+    /// Returns the failure domains of the deployment.
     pub fn domains(&self) -> &Domains {
         &self.domains
     }
--- a/crates/table/src/diff.rs
+++ b/crates/table/src/diff.rs
@@ -1,22 +1,22 @@
-//! What an edit changes, in plain words.
+//! Differences between two tables, in readable form.
 
 use std::fmt;
 
 use crate::{Row, Table};
 
-/// One change from a table to the next.
+/// Change from one table to the next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// A new row.
+    /// An added row.
     Added(Row),
-    /// A row that is gone.
+    /// A removed row.
     Removed(Row),
-    /// A row whose cells differ: before, after.
+    /// A row before and after a change of its cells.
     Altered(Row, Row),
 }
 
 impl Change {
-    /// Whether something permitted before is permitted no longer.
+    /// Returns whether the change revokes a permission.
     pub fn narrows(&self) -> bool {
         match self {
             Change::Added(_) => false,
@@ -28,25 +28,25 @@
     }
 }
 
-/// Changes that lead from `before` to `after`; empty where both say the same.
+/// Returns the changes from `before` to `after`; empty if their rows are the same.
 pub fn diff(before: &Table, after: &Table) -> Vec<Change> {
-    let mut gone: Vec<&Row> = before.rows.iter().collect();
+    let mut removed: Vec<&Row> = before.rows.iter().collect();
     let mut changes = Vec::new();
-    let mut fresh = Vec::new();
+    let mut added = Vec::new();
     for row in &after.rows {
-        match gone.iter().position(|old| *old == row) {
-            Some(i) => drop(gone.swap_remove(i)),
-            None => fresh.push(row),
+        match removed.iter().position(|old| *old == row) {
+            Some(i) => drop(removed.swap_remove(i)),
+            None => added.push(row),
         }
     }
-    for row in fresh {
-        let twin = |old: &&Row| old.model == row.model && old.version == row.version;
-        match gone.iter().position(twin) {
-            Some(i) => changes.push(Change::Altered(gone.swap_remove(i).clone(), row.clone())),
+    for row in added {
+        let same_version = |old: &&Row| old.model == row.model && old.version == row.version;
+        match removed.iter().position(same_version) {
+            Some(i) => changes.push(Change::Altered(removed.swap_remove(i).clone(), row.clone())),
             None => changes.push(Change::Added(row.clone())),
         }
     }
-    changes.extend(gone.into_iter().cloned().map(Change::Removed));
+    changes.extend(removed.into_iter().cloned().map(Change::Removed));
     changes
 }
 
@@ -72,13 +72,18 @@
                 )
             }
             Change::Altered(before, after) => {
-                write!(f, "alter {}: {}", after.name(), altered(before, after))
+                write!(
+                    f,
+                    "alter {}: {}",
+                    after.name(),
+                    describe_cells(before, after)
+                )
             }
         }
     }
 }
 
-fn altered(before: &Row, after: &Row) -> String {
+fn describe_cells(before: &Row, after: &Row) -> String {
     let cells = [
         ("places", before.places_text(), after.places_text()),
         ("share", before.share.to_string(), after.share.to_string()),
--- a/crates/table/src/edition.rs
+++ b/crates/table/src/edition.rs
@@ -1,25 +1,25 @@
-//! An accepted edit, as it lies in the platform's table service.
+//! Editions: accepted edits, as stored in the platform's table service.
 
 use base::Revision;
 use serde::{Deserialize, Serialize};
 
-/// One revision of the table.
+/// A revision of the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Edition {
     /// Revision; 0 before the first edit.
     pub revision: Revision,
-    /// Random id of the edit, by which its writer knows its own write again.
+    /// Random id of the edit, by which its writer recognizes its own write.
     pub edit: String,
-    /// Who edited.
+    /// Author of the edit.
     pub author: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the edit, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// The table as CSV.
     pub csv: String,
 }
 
 impl Edition {
-    /// The empty table that is in force before the first edit.
+    /// Returns the empty table, which is the current edition before the first edit.
     pub fn initial() -> Edition {
         Edition {
             revision: 0,
--- a/crates/table/src/fault.rs
+++ b/crates/table/src/fault.rs
@@ -1,20 +1,20 @@
-//! A fault in a table or settings file.
+//! Faults in a table or settings file.
 
 use std::fmt;
 
-/// One fault, with where it is and how to mend it.
+/// A fault, with its location and remedy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Line in the file, from 1; 0 where the whole file is meant.
+    /// Line in the file, from 1; 0 for the whole file.
     pub line: usize,
     /// Column or field.
     pub field: String,
-    /// What is wrong and what to do.
+    /// Description of the fault and its remedy.
     pub remedy: String,
 }
 
 impl Fault {
-    /// A fault.
+    /// Creates a fault.
     pub fn new(line: usize, field: impl Into<String>, remedy: impl Into<String>) -> Fault {
         Fault {
             line,
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,8 +1,9 @@
-//! The table that operators keep in version control.
+//! The table of models and services, which operators keep in version control.
 //!
-//! A row names a model or plain service, its version, the places it may run in, its share of
-//! traffic, its limits, its priority and how long a place that is cut off may go on by it. The
-//! table is a CSV file; [`Table::parse`] lists every fault in it with its line and remedy.
+//! A row has a model or plain service, its version, the places in which it may run, its share of the
+//! traffic, its limits, its priority, and how long a place that is cut off from the platform may
+//! continue to serve it. The table is a CSV file; [`Table::parse`] reports all of its faults, with line and
+//! remedy.
 
 pub mod active;
 pub mod diff;
@@ -23,7 +24,7 @@
 
 use base::Domains;
 
-/// Rows in the order of the file.
+/// Table, with its rows in the order of the file.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Table {
     /// All rows.
@@ -31,7 +32,7 @@
 }
 
 impl Table {
-    /// Rows of a model that permit a failure domain.
+    /// Returns the rows of a model that permit a failure domain.
     pub fn permitted_rows<'a>(
         &'a self,
         model: &'a str,
@@ -43,7 +44,7 @@
             .filter(move |row| row.model == model && row.permits(domain, domains))
     }
 
-    /// The row of a model and version that permits a failure domain.
+    /// Returns the row of a model and version that permits a failure domain.
     pub fn find(
         &self,
         model: &str,
@@ -57,12 +58,12 @@
             .find(|row| row.permits(domain, domains))
     }
 
-    /// Whether any row names the model.
+    /// Returns whether the model has a row.
     pub fn has_model(&self, model: &str) -> bool {
         self.rows.iter().any(|row| row.model == model)
     }
 
-    /// Whether the version's weights may lie in the failure domain.
+    /// Returns whether the weights of a version may be stored in a failure domain.
     pub fn permits_weights(&self, version: &Version, domain: &str, domains: &Domains) -> bool {
         self.rows
             .iter()
--- a/crates/table/src/limits.rs
+++ b/crates/table/src/limits.rs
@@ -1,35 +1,35 @@
-//! Limits of a row: `rps=200;running=64;workspace-rps=40;workspace-running=10`.
+//! Limits of a row, such as `rps=200;running=64;workspace-rps=40;workspace-running=10`.
 
 use std::fmt;
 
-/// Names of the limits, in the order they are written.
+/// Names of the limits, in the order of the CSV form.
 const NAMES: [&str; 4] = ["rps", "running", "workspace-rps", "workspace-running"];
 
-/// Limits in one failure domain; `None` where the row sets none.
+/// Limits in each failure domain; `None` for no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: Option<u32>,
-    /// Requests running at once.
+    /// Requests in flight.
     pub running: Option<u32>,
-    /// Requests a second of one workspace.
+    /// Requests per second of a workspace.
     pub workspace_rps: Option<u32>,
-    /// Requests of one workspace running at once.
+    /// Requests in flight of a workspace.
     pub workspace_running: Option<u32>,
 }
 
 impl Limits {
-    /// Reads the column; the error says what to write instead.
+    /// Parses the CSV column; the error describes the fault and its remedy.
     pub fn parse(s: &str) -> Result<Limits, String> {
         let mut limits = Limits::default();
         for part in s.split(';').map(str::trim).filter(|p| !p.is_empty()) {
             let (name, value) = part.split_once('=').unwrap_or((part, ""));
-            let slot = limits.slot(name).ok_or_else(|| {
+            let limit = limits.limit_mut(name).ok_or_else(|| {
                 let hint = base::nearest::hint(name, NAMES);
                 format!("there is no limit {name:?}{hint}; use {}", NAMES.join(", "))
             })?;
             match value.parse() {
-                Ok(n) if n > 0 && slot.is_none() => *slot = Some(n),
+                Ok(n) if n > 0 && limit.is_none() => *limit = Some(n),
                 Ok(n) if n > 0 => return Err(format!("{name} is set twice; keep one")),
                 _ => return Err(format!("{name} needs a whole number above 0, as {name}=10")),
             }
@@ -37,7 +37,7 @@
         Ok(limits)
     }
 
-    fn slot(&mut self, name: &str) -> Option<&mut Option<u32>> {
+    fn limit_mut(&mut self, name: &str) -> Option<&mut Option<u32>> {
         match name {
             "rps" => Some(&mut self.rps),
             "running" => Some(&mut self.running),
--- a/crates/table/src/parse.rs
+++ b/crates/table/src/parse.rs
@@ -1,11 +1,11 @@
-//! Reads the table from CSV and writes it back.
+//! Parsing and formatting of the table as CSV.
 
 use base::{Domains, Map, Place};
 
 use crate::row::{SERVE, SERVICE};
 use crate::{Fault, Hold, Limits, Row, Table, Version};
 
-/// Columns, in the order they are written.
+/// Columns, in order.
 pub const COLUMNS: [&str; 7] = [
     "model", "version", "places", "share", "limits", "priority", "hold",
 ];
@@ -13,38 +13,39 @@
 /// Highest priority.
 pub const MAX_PRIORITY: u8 = 9;
 
-/// Most rows a table may have.
+/// Maximum number of rows.
 pub const MAX_ROWS: usize = 100_000;
 
-/// Longest name of a model.
-const MAX_NAME: usize = 64;
+/// Maximum length of the name of a model.
+const MAX_NAME_LEN: usize = 64;
 
-/// A row with the line it was read from.
-struct Lined {
+/// A row and its line in the file.
+struct NumberedRow {
     line: usize,
     row: Row,
 }
 
 impl Table {
-    /// Reads a table; on failure, lists every fault.
+    /// Parses a table; the error lists all faults.
     pub fn parse(csv: &str, domains: &Domains) -> Result<Table, Vec<Fault>> {
         let mut faults = Vec::new();
-        let lined = read_rows(csv, domains, &mut faults);
-        check_duplicates(&lined, domains, &mut faults);
-        check_shares(&lined, domains, &mut faults);
+        let rows = parse_rows(csv, domains, &mut faults);
+        check_duplicates(&rows, domains, &mut faults);
+        check_shares(&rows, domains, &mut faults);
         if !faults.is_empty() {
             faults.sort_by_key(|fault| fault.line);
             return Err(faults);
         }
         Ok(Table {
-            rows: lined.into_iter().map(|l| l.row).collect(),
+            rows: rows.into_iter().map(|numbered| numbered.row).collect(),
         })
     }
 
-    /// The table as CSV, in the canonical form.
+    /// Formats the table as CSV, in canonical form.
     pub fn to_csv(&self) -> String {
         let mut w = csv::Writer::from_writer(Vec::new());
-        w.write_record(COLUMNS).expect("writing to memory");
+        w.write_record(COLUMNS)
+            .expect("writes to memory do not fail");
         for row in &self.rows {
             w.write_record([
                 row.model.clone(),
@@ -55,14 +56,14 @@
                 row.priority.to_string(),
                 row.hold.to_string(),
             ])
-            .expect("writing to memory");
+            .expect("writes to memory do not fail");
         }
-        let buf = w.into_inner().expect("writing to memory");
-        String::from_utf8(buf).expect("all cells are text")
+        let buf = w.into_inner().expect("writes to memory do not fail");
+        String::from_utf8(buf).expect("all cells are UTF-8")
     }
 }
 
-fn read_rows(text: &str, domains: &Domains, faults: &mut Vec<Fault>) -> Vec<Lined> {
+fn parse_rows(text: &str, domains: &Domains, faults: &mut Vec<Fault>) -> Vec<NumberedRow> {
     let mut reader = csv::ReaderBuilder::new()
         .trim(csv::Trim::All)
         .comment(Some(b'#'))
@@ -71,24 +72,24 @@
     match reader.headers() {
         Ok(h) if h.iter().eq(COLUMNS) => {}
         Ok(_) | Err(_) => {
-            let wanted = COLUMNS.join(",");
+            let columns = COLUMNS.join(",");
             faults.push(Fault::new(
                 1,
                 "columns",
-                format!("write the first line as {wanted}"),
+                format!("write the first line as {columns}"),
             ));
             return Vec::new();
         }
     }
-    let mut lined = Vec::new();
+    let mut rows = Vec::new();
     for record in reader.records() {
         match record {
-            Ok(_) if lined.len() == MAX_ROWS => {
+            Ok(_) if rows.len() == MAX_ROWS => {
                 let remedy = format!("keep at most {MAX_ROWS} rows");
                 faults.push(Fault::new(0, "rows", remedy));
                 break;
             }
-            Ok(record) => lined.extend(read_row(&record, domains, faults)),
+            Ok(record) => rows.extend(parse_row(&record, domains, faults)),
             Err(e) => {
                 let line = e.position().map_or(0, |p| p.line() as usize);
                 faults.push(Fault::new(
@@ -99,14 +100,14 @@
             }
         }
     }
-    lined
+    rows
 }
 
-fn read_row(
+fn parse_row(
     record: &csv::StringRecord,
     domains: &Domains,
     faults: &mut Vec<Fault>,
-) -> Option<Lined> {
+) -> Option<NumberedRow> {
     let line = record.position().map_or(0, |p| p.line() as usize);
     if record.len() != COLUMNS.len() {
         let remedy = format!(
@@ -117,53 +118,53 @@
         faults.push(Fault::new(line, "row", remedy));
         return None;
     }
-    let before = faults.len();
-    let mut cell = |i: usize, read: &dyn Fn(&str) -> Result<(), String>| {
-        if let Err(remedy) = read(&record[i]) {
+    let faults_before = faults.len();
+    let mut check_cell = |i: usize, parse: &dyn Fn(&str) -> Result<(), String>| {
+        if let Err(remedy) = parse(&record[i]) {
             faults.push(Fault::new(line, COLUMNS[i], remedy));
         }
     };
-    cell(0, &|s| read_model(s).map(drop));
-    cell(1, &|s| read_version(s).map(drop));
-    cell(2, &|s| read_places(s, domains).map(drop));
-    cell(3, &|s| read_share(s).map(drop));
-    cell(4, &|s| Limits::parse(s).map(drop));
-    cell(5, &|s| read_priority(s).map(drop));
-    cell(6, &|s| read_hold(s).map(drop));
-    if faults.len() > before {
+    check_cell(0, &|s| parse_model(s).map(drop));
+    check_cell(1, &|s| parse_version(s).map(drop));
+    check_cell(2, &|s| parse_places(s, domains).map(drop));
+    check_cell(3, &|s| parse_share(s).map(drop));
+    check_cell(4, &|s| Limits::parse(s).map(drop));
+    check_cell(5, &|s| parse_priority(s).map(drop));
+    check_cell(6, &|s| parse_hold(s).map(drop));
+    if faults.len() > faults_before {
         return None;
     }
-    Some(Lined {
+    Some(NumberedRow {
         line,
         row: Row {
-            model: read_model(&record[0]).ok()?,
-            version: read_version(&record[1]).ok()?,
-            places: read_places(&record[2], domains).ok()?,
-            share: read_share(&record[3]).ok()?,
+            model: parse_model(&record[0]).ok()?,
+            version: parse_version(&record[1]).ok()?,
+            places: parse_places(&record[2], domains).ok()?,
+            share: parse_share(&record[3]).ok()?,
             limits: Limits::parse(&record[4]).ok()?,
-            priority: read_priority(&record[5]).ok()?,
-            hold: read_hold(&record[6]).ok()?,
+            priority: parse_priority(&record[5]).ok()?,
+            hold: parse_hold(&record[6]).ok()?,
         },
     })
 }
 
-fn read_model(s: &str) -> Result<String, String> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if s.is_empty() || s.len() > MAX_NAME || !s.chars().all(plain) {
+fn parse_model(s: &str) -> Result<String, String> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if s.is_empty() || s.len() > MAX_NAME_LEN || !s.chars().all(is_allowed) {
         return Err(format!(
-            "{s:?} is no name; use 1 to {MAX_NAME} letters, digits, '-', '_' and '.'"
+            "{s:?} is no name; use 1 to {MAX_NAME_LEN} letters, digits, '-', '_' and '.'"
         ));
     }
     Ok(s.to_owned())
 }
 
-fn read_version(s: &str) -> Result<Version, String> {
+fn parse_version(s: &str) -> Result<Version, String> {
     Version::parse(s).ok_or_else(|| {
         format!("{s:?} is no version; give the digest `driftnotch publish` prints, or {SERVICE}")
     })
 }
 
-fn read_places(s: &str, domains: &Domains) -> Result<Vec<Place>, String> {
+fn parse_places(s: &str, domains: &Domains) -> Result<Vec<Place>, String> {
     let places: Vec<Place> = s
         .split(';')
         .map(str::trim)
@@ -185,7 +186,7 @@
     Ok(places)
 }
 
-fn read_share(s: &str) -> Result<u32, String> {
+fn parse_share(s: &str) -> Result<u32, String> {
     match s.parse() {
         Ok(share) if share <= 100 => Ok(share),
         _ => Err(format!(
@@ -194,7 +195,7 @@
     }
 }
 
-fn read_priority(s: &str) -> Result<u8, String> {
+fn parse_priority(s: &str) -> Result<u8, String> {
     match s.parse() {
         Ok(priority) if priority <= MAX_PRIORITY => Ok(priority),
         _ => Err(format!(
@@ -203,7 +204,7 @@
     }
 }
 
-fn read_hold(s: &str) -> Result<Hold, String> {
+fn parse_hold(s: &str) -> Result<Hold, String> {
     match s {
         SERVE => Ok(Hold::Serve),
         _ => base::units::parse_duration(s)
@@ -212,18 +213,18 @@
     }
 }
 
-fn check_duplicates(lined: &[Lined], domains: &Domains, faults: &mut Vec<Fault>) {
+fn check_duplicates(rows: &[NumberedRow], domains: &Domains, faults: &mut Vec<Fault>) {
     let mut seen: Map<(&str, &Version, &str), usize> = Map::default();
-    for Lined { line, row } in lined {
+    for NumberedRow { line, row } in rows {
         let permitted = domains.names().filter(|name| row.permits(name, domains));
         for domain in permitted {
-            let first = *seen
+            let first_line = *seen
                 .entry((&row.model, &row.version, domain))
                 .or_insert(*line);
-            if first != *line {
+            if first_line != *line {
                 let name = row.name();
                 let remedy = format!(
-                    "{name} is already permitted in {domain} by line {first}; keep one row"
+                    "{name} is already permitted in {domain} by line {first_line}; keep one row"
                 );
                 faults.push(Fault::new(*line, "model", remedy));
                 break;
@@ -232,9 +233,9 @@
     }
 }
 
-fn check_shares(lined: &[Lined], domains: &Domains, faults: &mut Vec<Fault>) {
+fn check_shares(rows: &[NumberedRow], domains: &Domains, faults: &mut Vec<Fault>) {
     let mut sums: Map<(&str, &str), (u32, usize)> = Map::default();
-    for Lined { line, row } in lined {
+    for NumberedRow { line, row } in rows {
         let permitted = domains.names().filter(|name| row.permits(name, domains));
         for domain in permitted {
             let sum = sums.entry((&row.model, domain)).or_default();
@@ -242,12 +243,12 @@
             sum.1 = *line;
         }
     }
-    let mut off: Vec<_> = sums
+    let mut wrong_sums: Vec<_> = sums
         .into_iter()
         .filter(|(_, (sum, _))| *sum != 100)
         .collect();
-    off.sort_unstable();
-    for ((model, domain), (sum, line)) in off {
+    wrong_sums.sort_unstable();
+    for ((model, domain), (sum, line)) in wrong_sums {
         let remedy =
             format!("the shares of {model} in {domain} add up to {sum}; make them add up to 100");
         faults.push(Fault::new(line, "share", remedy));
--- a/crates/table/src/patch.rs
+++ b/crates/table/src/patch.rs
@@ -1,53 +1,53 @@
-//! An edition as what changed from an earlier one.
+//! Patches: editions as differences from an earlier edition.
 //!
-//! Edits touch few rows, so an edition travels as the lines between the first and the last that
-//! differ. A check value tells whether the base was the one it was made from.
+//! Edits change few rows. An edition is therefore sent as the lines from the first to the last that differ,
+//! with a checksum of the resulting text, which detects a wrong base.
 
 use base::{Digest, Revision};
 
 use crate::Edition;
 
-/// An edition on its way between processes.
+/// Edition in the form that processes exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Patch {
-    /// Revision it leads to.
+    /// Resulting revision.
     pub revision: Revision,
     /// Id of the edit.
     pub edit: String,
-    /// Who edited.
+    /// Author of the edit.
     pub author: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the edit, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Revision it starts from; 0 where it holds the whole text.
+    /// Revision of the base; 0 if the patch has the full text.
     pub base: Revision,
-    /// Lines kept from the head of the base's text.
+    /// Number of lines retained at the start of the base.
     pub head: u32,
-    /// Lines kept from its tail.
+    /// Number of lines retained at the end of the base.
     pub tail: u32,
-    /// Lines between.
+    /// Text between them.
     pub middle: String,
-    /// Check value of the text it leads to.
+    /// Checksum of the resulting text.
     pub check: u64,
 }
 
 impl Patch {
-    /// The whole edition.
+    /// Creates a patch with the full text of an edition.
     pub fn full(to: &Edition) -> Patch {
         Patch::new(to, 0, 0, 0, to.csv.clone())
     }
 
-    /// What leads from one edition to another.
+    /// Creates the patch from one edition to another.
     pub fn between(base: &Edition, to: &Edition) -> Patch {
         if base.revision == 0 {
             return Patch::full(to);
         }
         let old: Vec<&str> = lines(&base.csv);
         let new: Vec<&str> = lines(&to.csv);
-        let same = |(a, b): &(&&str, &&str)| a == b;
-        let head = old.iter().zip(&new).take_while(same).count();
-        let left = old.len().min(new.len()) - head;
-        let ends = old.iter().rev().zip(new.iter().rev());
-        let tail = ends.take(left).take_while(same).count();
+        let is_equal = |(a, b): &(&&str, &&str)| a == b;
+        let head = old.iter().zip(&new).take_while(is_equal).count();
+        let remaining = old.len().min(new.len()) - head;
+        let from_end = old.iter().rev().zip(new.iter().rev());
+        let tail = from_end.take(remaining).take_while(is_equal).count();
         let middle = new[head..new.len() - tail].concat();
         Patch::new(to, base.revision, head as u32, tail as u32, middle)
     }
@@ -62,11 +62,11 @@
             head,
             tail,
             middle,
-            check: check(&to.csv),
+            check: checksum(&to.csv),
         }
     }
 
-    /// The edition it leads to; `None` where the base is not the one it was made from.
+    /// Returns the resulting edition; `None` if `base` is not the one that the patch was made from.
     pub fn apply(self, base: Option<&Edition>) -> Option<Edition> {
         let csv = match (self.base, base) {
             (0, _) => self.middle,
@@ -78,7 +78,7 @@
             }
             _ => return None,
         };
-        (check(&csv) == self.check).then_some(Edition {
+        (checksum(&csv) == self.check).then_some(Edition {
             revision: self.revision,
             edit: self.edit,
             author: self.author,
@@ -92,10 +92,10 @@
     text.split_inclusive('\n').collect()
 }
 
-fn check(text: &str) -> u64 {
+fn checksum(text: &str) -> u64 {
     let digest = Digest::of(text.as_bytes());
     let first: [u8; 8] = digest.as_bytes()[..8]
         .try_into()
-        .expect("eight of 32 bytes");
+        .expect("a digest has 32 bytes");
     u64::from_le_bytes(first)
 }
--- a/crates/table/src/row.rs
+++ b/crates/table/src/row.rs
@@ -1,4 +1,4 @@
-//! One row of the table.
+//! Row of the table.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,23 +7,23 @@
 
 use crate::Limits;
 
-/// Word for the version of a plain service, which has no weights.
+/// Version of a plain service, which has no weights.
 pub const SERVICE: &str = "service";
 
-/// Word for a row that a cut place serves without end.
+/// Hold without a time limit.
 pub const SERVE: &str = "serve";
 
 /// Version of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Version {
-    /// Weights, by the digest of their manifest.
+    /// Weights, identified by the digest of their manifest.
     Weights(Digest),
     /// A plain service.
     Service,
 }
 
 impl Version {
-    /// Reads `service` or a digest; `None` for anything else.
+    /// Parses `service` or a digest.
     pub fn parse(s: &str) -> Option<Version> {
         match s {
             SERVICE => Some(Version::Service),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The digest, where the version has weights.
+    /// Returns the digest, if the version has weights.
     pub fn digest(&self) -> Option<Digest> {
         match self {
             Version::Weights(digest) => Some(*digest),
@@ -49,17 +49,17 @@
     }
 }
 
-/// How long a place cut off from the platform may go on by a row.
+/// How long a place that is cut off from the platform may continue to serve a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Hold {
-    /// As long as the cut lasts.
+    /// Without a time limit.
     Serve,
-    /// This long after the last confirmation.
+    /// For this time after the last confirmation.
     For(Duration),
 }
 
 impl Hold {
-    /// Whether a row confirmed this long ago may still be served by.
+    /// Returns whether a row that was last confirmed this long ago may still be served.
     pub fn allows(self, confirmed_ago: Duration) -> bool {
         match self {
             Hold::Serve => true,
@@ -77,32 +77,32 @@
     }
 }
 
-/// A row.
+/// Row of the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Model or plain service.
     pub model: Model,
     /// Version.
     pub version: Version,
-    /// Places it may run in.
+    /// Places in which it may run.
     pub places: Vec<Place>,
-    /// Percent of the model's traffic in each of its places.
+    /// Percentage of the traffic of the model in each of these places.
     pub share: u32,
     /// Limits.
     pub limits: Limits,
     /// Priority from 0 (lowest) to 9.
     pub priority: u8,
-    /// How long a cut place may go on by this row.
+    /// How long a place that is cut off may continue to serve this row.
     pub hold: Hold,
 }
 
 impl Row {
-    /// Whether the row may run in a failure domain.
+    /// Returns whether the row may run in a failure domain.
     pub fn permits(&self, domain: &str, domains: &Domains) -> bool {
         self.places.iter().any(|p| domains.is_within(domain, p))
     }
 
-    /// What tells one row from another: model, version and places.
+    /// Returns the model and the version, in short form, for messages.
     pub fn name(&self) -> String {
         match &self.version {
             Version::Weights(digest) => format!("{} {}", self.model, digest.short()),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Places in the form of the CSV column.
+    /// Formats the places as in the CSV column.
     pub fn places_text(&self) -> String {
         let places: Vec<String> = self.places.iter().map(Place::to_string).collect();
         places.join(";")
--- a/crates/table/tests/active.rs
+++ b/crates/table/tests/active.rs
@@ -1,4 +1,4 @@
-//! The edition in force against an oracle: the newest that was ever offered.
+//! The active edition compared with a model: the newest edition offered.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone)]
 enum Step {
     Offer(u64),
-    OfferBroken(u64),
+    OfferInvalid(u64),
     Confirm(u64),
 }
 
-/// The oracle.
+/// Reference model: the newest revision offered, and whether it was confirmed.
 #[derive(Debug, Clone, Default)]
 struct Newest {
     revision: u64,
@@ -32,7 +32,7 @@
     fn transitions(_: &Newest) -> BoxedStrategy<Step> {
         prop_oneof![
             (0..20u64).prop_map(Step::Offer),
-            (0..20u64).prop_map(Step::OfferBroken),
+            (0..20u64).prop_map(Step::OfferInvalid),
             (0..20u64).prop_map(Step::Confirm),
         ]
         .boxed()
@@ -41,14 +41,14 @@
     fn apply(mut state: Newest, step: &Step) -> Newest {
         match step {
             Step::Offer(n) => state.revision = state.revision.max(*n),
-            Step::OfferBroken(_) => {}
+            Step::OfferInvalid(_) => {}
             Step::Confirm(n) => state.confirmed |= *n == state.revision,
         }
         state
     }
 }
 
-struct Holder;
+struct ActiveTableTest;
 
 fn edition(revision: u64, csv: String) -> Edition {
     Edition {
@@ -58,7 +58,7 @@
     }
 }
 
-impl StateMachineTest for Holder {
+impl StateMachineTest for ActiveTableTest {
     type SystemUnderTest = ActiveTable;
     type Reference = Newest;
 
@@ -66,19 +66,19 @@
         ActiveTable::new(Domains::new(vec![("recife".into(), "pernambuco".into())]))
     }
 
-    fn apply(force: ActiveTable, _: &Newest, step: Step) -> ActiveTable {
+    fn apply(active: ActiveTable, _: &Newest, step: Step) -> ActiveTable {
         match step {
-            Step::Offer(n) => drop(force.offer(edition(n, Edition::initial().csv))),
-            Step::OfferBroken(n) => drop(force.offer(edition(n, "no table".into()))),
-            Step::Confirm(n) => force.confirm(n, Instant::now()),
+            Step::Offer(n) => drop(active.offer(edition(n, Edition::initial().csv))),
+            Step::OfferInvalid(n) => drop(active.offer(edition(n, "no table".into()))),
+            Step::Confirm(n) => active.confirm(n, Instant::now()),
         }
-        force
+        active
     }
 
-    fn check_invariants(force: &ActiveTable, oracle: &Newest) {
-        assert_eq!(force.revision(), oracle.revision);
-        assert_eq!(force.current().edition.revision, oracle.revision);
-        assert_eq!(force.confirmation_age().is_some(), oracle.confirmed);
+    fn check_invariants(active: &ActiveTable, model: &Newest) {
+        assert_eq!(active.revision(), model.revision);
+        assert_eq!(active.current().edition.revision, model.revision);
+        assert_eq!(active.confirmation_age().is_some(), model.confirmed);
     }
 }
 
@@ -86,14 +86,14 @@
     #![proptest_config(cases::cases(200))]
 
     #[test]
-    fn only_newer_editions_come_into_force(sequential 1..40 => Holder);
+    fn activates_only_newer_editions(sequential 1..40 => ActiveTableTest);
 }
 
 #[test]
-fn a_confirmation_never_grows_older() {
-    let force = ActiveTable::new(Domains::default());
+fn older_confirmations_are_ignored() {
+    let active = ActiveTable::new(Domains::default());
     let now = Instant::now();
-    force.confirm(0, now);
-    force.confirm(0, now - Duration::from_secs(60));
-    assert!(force.confirmation_age().expect("confirmed") < Duration::from_secs(60));
+    active.confirm(0, now);
+    active.confirm(0, now - Duration::from_secs(60));
+    assert!(active.confirmation_age().expect("confirmed") < Duration::from_secs(60));
 }
--- a/crates/table/tests/parse.rs
+++ b/crates/table/tests/parse.rs
@@ -1,10 +1,10 @@
-//! The table as CSV: checked strictly, written back unchanged.
+//! Parsing, formatting and comparison of tables.
 
 use base::Domains;
 use proptest::prelude::*;
 use table::{Change, Table, diff};
 
-const HEAD: &str = "model,version,places,share,limits,priority,hold\n";
+const HEADER: &str = "model,version,places,share,limits,priority,hold\n";
 
 fn domains() -> Domains {
     let pairs = [
@@ -20,7 +20,7 @@
 }
 
 fn faults_of(rows: &str) -> Vec<(usize, String, String)> {
-    let faults = Table::parse(&format!("{HEAD}{rows}"), &domains()).expect_err("faults");
+    let faults = Table::parse(&format!("{HEADER}{rows}"), &domains()).expect_err("faults");
     faults
         .into_iter()
         .map(|f| (f.line, f.field, f.remedy))
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn regions_stand_for_all_their_domains() {
+fn a_region_includes_all_of_its_domains() {
     let rows = format!("m,{},region:ceara,100,,5,serve\n", digest('a'));
-    let table = Table::parse(&format!("{HEAD}{rows}"), &domains()).expect("no faults");
+    let table = Table::parse(&format!("{HEADER}{rows}"), &domains()).expect("no faults");
     let permits = |d: &str| table.rows[0].permits(d, &domains());
     assert!(permits("fortaleza") && permits("crato") && !permits("recife"));
 }
 
 #[test]
-fn every_fault_of_a_row_is_named() {
+fn reports_all_faults_of_a_row() {
     let faults = faults_of("m odel,xyz,recive,101,rsp=5,10,soon\n");
     let fields: Vec<&str> = faults.iter().map(|(_, field, _)| field.as_str()).collect();
     assert_eq!(
@@ -55,18 +55,18 @@
 }
 
 #[test]
-fn rows_that_no_place_can_serve_duplicates_and_shares_that_dont_add_up_are_named() {
+fn reports_missing_places_duplicates_and_wrong_sums_of_shares() {
     let (a, b) = (digest('a'), digest('b'));
-    let nowhere = faults_of(&format!("m,{a},,100,,5,serve\n"));
-    assert!(nowhere[0].2.contains("no place can serve"));
-    let twice = faults_of(&format!(
+    let no_place = faults_of(&format!("m,{a},,100,,5,serve\n"));
+    assert!(no_place[0].2.contains("no place can serve"));
+    let duplicate = faults_of(&format!(
         "m,{a},recife,100,,5,serve\nm,{a},recife;crato,0,,5,serve\n"
     ));
     assert!(
-        twice
+        duplicate
             .iter()
             .any(|(line, _, remedy)| *line == 3 && remedy.contains("line 2")),
-        "{twice:?}"
+        "{duplicate:?}"
     );
     let sum = faults_of(&format!(
         "m,{a},recife;crato,90,,5,serve\nm,{b},recife,10,,5,serve\n"
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_wrong_head_or_a_short_row_is_refused() {
+fn rejects_a_wrong_header_and_a_short_row() {
     assert!(Table::parse("a,b\n", &domains()).is_err());
     assert!(Table::parse("", &domains()).is_err());
     assert_eq!(faults_of("m,service\n")[0].1, "row");
@@ -101,23 +101,26 @@
 }
 
 fn parsed(rows: &[String]) -> Option<Table> {
-    Table::parse(&format!("{HEAD}{}\n", rows.join("\n")), &domains()).ok()
+    Table::parse(&format!("{HEADER}{}\n", rows.join("\n")), &domains()).ok()
 }
 
-/// The naive way to follow a diff: take away, then add.
-fn follow(before: &Table, changes: &[Change]) -> Vec<String> {
+/// Applies a diff naively: removes rows, then adds rows.
+fn apply(before: &Table, changes: &[Change]) -> Vec<String> {
     let mut rows = before.rows.clone();
     for change in changes {
-        let (gone, come) = match change {
+        let (removed, added) = match change {
             Change::Added(row) => (None, Some(row)),
             Change::Removed(row) => (Some(row), None),
             Change::Altered(old, new) => (Some(old), Some(new)),
         };
-        if let Some(gone) = gone {
-            let i = rows.iter().position(|r| r == gone).expect("it was there");
+        if let Some(removed) = removed {
+            let i = rows
+                .iter()
+                .position(|r| r == removed)
+                .expect("the row exists");
             rows.remove(i);
         }
-        rows.extend(come.cloned());
+        rows.extend(added.cloned());
     }
     sorted(&rows)
 }
@@ -132,12 +135,12 @@
     #![proptest_config(cases::cases(500))]
 
     #[test]
-    fn no_text_makes_the_parser_panic(text in "(model,version,places,share,limits,priority,hold\n)?[ -~\n]{0,300}") {
+    fn parser_does_not_panic(text in "(model,version,places,share,limits,priority,hold\n)?[ -~\n]{0,300}") {
         let _ = Table::parse(&text, &domains());
     }
 
     #[test]
-    fn a_table_written_and_read_again_is_the_same(rows in prop::collection::vec(row_text(), 1..5)) {
+    fn parses_a_formatted_table_to_the_same_table(rows in prop::collection::vec(row_text(), 1..5)) {
         if let Some(table) = parsed(&rows) {
             let again = Table::parse(&table.to_csv(), &domains()).expect("valid");
             prop_assert_eq!(again, table);
@@ -145,13 +148,13 @@
     }
 
     #[test]
-    fn a_diff_followed_naively_gives_the_table_after(
+    fn an_applied_diff_results_in_the_second_table(
         before in prop::collection::vec(row_text(), 1..4),
         after in prop::collection::vec(row_text(), 1..4),
     ) {
         if let (Some(before), Some(after)) = (parsed(&before), parsed(&after)) {
             let changes = diff(&before, &after);
-            prop_assert_eq!(follow(&before, &changes), sorted(&after.rows));
+            prop_assert_eq!(apply(&before, &changes), sorted(&after.rows));
             prop_assert!(diff(&after, &after).is_empty());
         }
     }
