--- a/crates/web/src/body.rs
+++ b/crates/web/src/body.rs
@@ -15,11 +15,11 @@
 pub enum BodyError {
     /// the body is larger than {0} bytes; send less
     TooLarge(usize),
-    /// the body timed out after {0:?}; send it sooner
+    /// the body did not come within {0:?}; send it sooner
     TimedOut(Duration),
-    /// the connection failed before the end of the body ({0}); send it again
+    /// the body broke off ({0}); send it again
     Broken(hyper::Error),
-    /// the body is incomplete: {0}
+    /// the body was cut off: {0}
     Interrupted(&'static str),
 }
 
@@ -52,7 +52,7 @@
         Err(e) if e.is::<LengthLimitError>() => Err(BodyError::TooLarge(limit)),
         Err(e) => match e.downcast::<hyper::Error>() {
             Ok(e) => Err(BodyError::Broken(*e)),
-            Err(_) => Err(BodyError::Interrupted("the peer closed the connection")),
+            Err(_) => Err(BodyError::Interrupted("the peer closed")),
         },
     }
 }
--- a/crates/web/src/client.rs
+++ b/crates/web/src/client.rs
@@ -17,8 +17,8 @@
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Idle time before the first TCP keep-alive probe, and interval between probes. Without probes, an idle
-/// connection to an unreachable peer is never detected.
+/// Idle time before the first TCP keep-alive probe, and interval between probes. Without probes, a
+/// connection that waits for data of an unreachable peer never fails.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Unanswered keep-alive probes after which a connection is closed.
@@ -32,9 +32,9 @@
 pub enum SendError {
     /// no connection to {0} ({1}); no byte of the request was sent
     NotSent(SocketAddr, String),
-    /// the response of {0} was lost ({1}); the request may have run
+    /// {0} gave no whole answer ({1}); the request may have run
     ResponseLost(SocketAddr, String),
-    /// {0} did not respond within {1:?}; the request may have run
+    /// {0} gave no answer within {1:?}; the request may have run
     TimedOut(SocketAddr, Duration),
 }
 
