--- a/crates/cli/tests/follow.rs
+++ b/crates/cli/tests/follow.rs
@@ -1,5 +1,5 @@
-//! A small run of the experiment that measures from acknowledgement to force; how long anything takes is
-//! not asserted.
+//! A small run of `follow`, which measures the time from the acknowledgement of a change until it is in force. The
+//! latencies themselves are not asserted.
 
 use std::path::PathBuf;
 
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn each_change_is_counted_at_each_gateway_and_each_failure_domain_reads_the_store() {
+async fn counts_each_change_at_each_gateway_and_store_reads_of_each_failure_domain() {
     println!("seed {SEED}");
     let cell = Cell {
         routes: 20,
