--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,45 +1,47 @@
-//! Short runs of the soak from fixed seeds; `driftnotch-soak` runs longer ones.
+//! Short runs of the soak test from fixed seeds; `driftnotch-soak` performs longer ones.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use soak::options::{Options, Seed};
 
-/// Length of the part with faults.
-const SPAN: Duration = Duration::from_secs(4);
+/// Length of the phase with faults.
+const FAULT_TIME: Duration = Duration::from_secs(4);
 
-/// Seeds that each run of the tests plays; one that ever broke a promise stays here, with its cause:
-/// in 211 a gateway was told to stop twice, which ends it at once with an error, and the soak took that
-/// for an end of its own.
+/// Seeds that are always run; a seed that ever violated an invariant stays here, with its cause. On 211 a gateway got
+/// SIGTERM twice, which terminates it immediately with an error, and the soak test took that for an unexpected exit.
 const SEEDS: [Seed; 3] = [1, 2, 211];
 
-/// Length of the part with faults in which routes were denied.
-const LONG_SPAN: Duration = Duration::from_secs(10);
+/// Length of the phase with faults on the seeds of `DENYING`.
+const LONG_FAULT_TIME: Duration = Duration::from_secs(10);
 
-/// Seeds on which gateways denied what had been added more than the bound before. In 105 a store on a narrow
-/// link is away for a moment and then late, and gateways deny by the second of 13 versions. In 10 gateways
-/// stay behind for good: a watch's answer, with each of the changes missed, has grown beyond what they read.
+/// Seeds on which gateways denied requests on routes and keys that had been added longer ago than the bound. On 105 a
+/// store on a narrow link is briefly unavailable and then responds late, and gateways deny by the second of 13 versions.
+/// On 10 gateways stay behind permanently: the response to a watch, with every missed change, exceeds the size that they
+/// read.
 const DENYING: [Seed; 2] = [105, 10];
 
-/// Seed on which callers send a request under which engines end.
-const DEADLY: Seed = 700;
+/// Seed on which callers send the deadly request, under which engines exit.
+const DEADLY_SEED: Seed = 700;
 
-/// Such callers.
+/// Number of these callers.
 const DEADLY_CALLERS: usize = 2;
 
-fn options(span: Duration) -> Options {
+fn options(fault_time: Duration) -> Options {
     Options {
-        span,
+        fault_time,
         ..Options::small(PathBuf::from(env!("CARGO_BIN_EXE_driftnotch")))
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_promise_is_broken_by_faults_that_overlap() {
+async fn no_invariant_is_violated_under_overlapping_faults() {
     for seed in SEEDS {
         println!("seed {seed}");
 
-        let report = soak::run(options(SPAN), seed).await.expect("a run");
+        let report = soak::run(options(FAULT_TIME), seed)
+            .await
+            .expect("the run completes");
 
         assert_eq!(report.violations, [], "seed {seed}: {:?}", report.faults);
         assert!(report.served > 0 && !report.faults.is_empty());
@@ -47,11 +49,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn nothing_allowed_is_denied_by_gateways_that_are_behind() {
+async fn no_allowed_request_is_denied_by_gateways_that_are_behind() {
     for seed in DENYING {
         println!("seed {seed}");
 
-        let report = soak::run(options(LONG_SPAN), seed).await.expect("a run");
+        let report = soak::run(options(LONG_FAULT_TIME), seed)
+            .await
+            .expect("the run completes");
 
         assert_eq!(report.violations, [], "seed {seed}: {:?}", report.faults);
         assert!(report.served > 0 && !report.changes.is_empty());
@@ -59,15 +63,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_request_under_which_engines_end_is_held_back_amid_faults() {
+async fn quarantines_request_under_which_engines_exit_during_faults() {
     let options = Options {
         deadly: DEADLY_CALLERS,
-        ..options(SPAN)
+        ..options(FAULT_TIME)
     };
-    println!("seed {DEADLY}");
-
-    let report = soak::run(options, DEADLY).await.expect("a run");
-
-    assert_eq!(report.violations, [], "seed {DEADLY}: {:?}", report.faults);
+    println!("seed {DEADLY_SEED}");
+
+    let report = soak::run(options, DEADLY_SEED)
+        .await
+        .expect("the run completes");
+
+    assert_eq!(
+        report.violations,
+        [],
+        "seed {DEADLY_SEED}: {:?}",
+        report.faults
+    );
     assert!(report.served > 0 && report.engine_exits > 0);
 }
