--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -25,7 +25,7 @@
 
 /// What is written under a key: which request holds it, and where that request was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ClaimRecord {
     /// Request.
     pub request: RequestId,
     /// Digest of the request's content.
@@ -44,15 +44,15 @@
 
 /// What became of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It took effect.
-    Won,
+    Applied,
     /// Another claim stands.
-    Taken,
+    Conflict,
     /// It may have taken effect.
     Unknown,
     /// It did not take effect.
-    Down,
+    Failed,
 }
 
 #[derive(Debug)]
@@ -63,11 +63,11 @@
 
 /// How claims are gathered.
 #[derive(Debug, Clone, Copy)]
-pub struct Gather {
+pub struct Batching {
     /// Time over which claims are gathered.
     pub interval: Duration,
     /// Claims in one write.
-    pub batch: usize,
+    pub max_batch: usize,
     /// Time a claim is kept.
     pub retention: Duration,
 }
@@ -76,13 +76,13 @@
 #[derive(Debug, Clone)]
 pub struct Claims {
     kv: Kv,
-    gather: Gather,
+    batching: Batching,
     own: mpsc::Sender<Pending>,
     writer: mpsc::Sender<Pending>,
 }
 
 /// Key of a workspace's idempotency key.
-pub fn key_of(workspace: &str, key: &str) -> String {
+pub fn claim_key(workspace: &str, key: &str) -> String {
     let digest = Digest::of(format!("{workspace}\0{key}").as_bytes());
     format!("claim/{digest}")
 }
@@ -90,7 +90,7 @@
 impl Claims {
     /// Starts the writer. `claimer` names the entry that writes for this one, or `None` where this
     /// one does; `forward` hands claims to it.
-    pub fn start<C, W, F>(kv: Kv, gather: Gather, claimer: C, forward: W) -> Claims
+    pub fn start<C, W, F>(kv: Kv, batching: Batching, claimer: C, forward: W) -> Claims
     where
         C: Fn() -> Option<SocketAddr> + Send + Sync + 'static,
         W: Fn(SocketAddr, Vec<Claim>) -> F + Send + Sync + 'static,
@@ -100,23 +100,23 @@
         let (own, own_claims) = mpsc::channel(MAX_WAITING);
         let claims = Claims {
             kv,
-            gather,
+            batching,
             own,
             writer,
         };
         let committing = claims.clone();
-        tokio::spawn(gather_claims(to_write, gather, move |batch| {
+        tokio::spawn(gather_claims(to_write, batching, move |batch| {
             let committing = committing.clone();
             async move { committing.commit(batch).await }
         }));
         let writing = claims.clone();
-        tokio::spawn(gather_claims(own_claims, gather, move |batch| {
+        tokio::spawn(gather_claims(own_claims, batching, move |batch| {
             let forwarded = claimer().map(|to| forward(to, batch.clone()));
             let writing = writing.clone();
             async move {
                 match forwarded {
                     Some(forwarded) => forwarded.await,
-                    None => writing.write_for(batch).await,
+                    None => writing.write_batched(batch).await,
                 }
             }
         }));
@@ -124,42 +124,42 @@
     }
 
     /// Claims a key for a record.
-    pub async fn claim(&self, key: String, record: &Record) -> Written {
+    pub async fn claim(&self, key: String, record: &ClaimRecord) -> WriteOutcome {
         let value = serde_json::to_string(record).expect("plain data");
-        let ttl = self.gather.retention;
+        let ttl = self.batching.retention;
         let claimed = enqueue(&self.own, Claim { key, value, ttl }).await;
         match claimed {
-            ClaimOutcome::Won => Written::Won,
-            ClaimOutcome::Taken => Written::Taken,
-            ClaimOutcome::Unavailable => Written::Down,
-            ClaimOutcome::Unknown => Written::Unknown,
+            ClaimOutcome::Won => WriteOutcome::Applied,
+            ClaimOutcome::Taken => WriteOutcome::Conflict,
+            ClaimOutcome::Unavailable => WriteOutcome::Failed,
+            ClaimOutcome::Unknown => WriteOutcome::Unknown,
         }
     }
 
     /// Takes in claims, of this entry or another, and writes them with what else has gathered.
-    pub async fn write_for(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
+    pub async fn write_batched(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
         let written = claims.into_iter().map(|c| enqueue(&self.writer, c));
         join_all(written).await
     }
 
     /// Replaces a record that still has the tag.
-    pub async fn replace(&self, key: &str, tag: Tag, record: &Record) -> Written {
+    pub async fn replace(&self, key: &str, tag: Tag, record: &ClaimRecord) -> WriteOutcome {
         let value = serde_json::to_string(record).expect("plain data");
         let claim = Claim {
             key: key.to_owned(),
             value,
-            ttl: self.gather.retention,
+            ttl: self.batching.retention,
         };
         match self.kv.commit(vec![op(&claim, Unless::Changed(tag))]).await {
-            Ok(Ok(_)) => Written::Won,
-            Ok(Err(_)) => Written::Taken,
-            Err(e) if e.may_have_written() => Written::Unknown,
-            Err(_) => Written::Down,
+            Ok(Ok(_)) => WriteOutcome::Applied,
+            Ok(Err(_)) => WriteOutcome::Conflict,
+            Err(e) if e.may_have_written() => WriteOutcome::Unknown,
+            Err(_) => WriteOutcome::Failed,
         }
     }
 
     /// The record under a key, with its tag.
-    pub async fn read(&self, key: &str) -> Result<Option<(Record, Tag)>, PlatformError> {
+    pub async fn read(&self, key: &str) -> Result<Option<(ClaimRecord, Tag)>, PlatformError> {
         match self.kv.get(&format!("/kv/{key}"), None).await? {
             ReadResult::Value(buf, tag) => serde_json::from_slice(&buf)
                 .map(|record| Some((record, tag)))
@@ -225,7 +225,7 @@
 
 /// Gathers claims for half the interval and writes each batch on a task of its own; a claim
 /// passes two such lines, that of its entry and that of the claimer.
-async fn gather_claims<W, F>(mut rx: mpsc::Receiver<Pending>, gather: Gather, write: W)
+async fn gather_claims<W, F>(mut rx: mpsc::Receiver<Pending>, batching: Batching, write: W)
 where
     W: Fn(Vec<Claim>) -> F,
     F: Future<Output = Vec<ClaimOutcome>> + Send + 'static,
@@ -233,8 +233,8 @@
     let writes = Arc::new(Semaphore::new(MAX_WRITES));
     while let Some(first) = rx.recv().await {
         let mut batch = vec![first];
-        let until = clock::now() + gather.interval / 2;
-        while batch.len() < gather.batch {
+        let until = clock::now() + batching.interval / 2;
+        while batch.len() < batching.max_batch {
             match clock::timeout_at(until, rx.recv()).await {
                 Ok(Some(next)) => batch.push(next),
                 Ok(None) | Err(_) => break,
--- a/crates/entry/src/membership/control.rs
+++ b/crates/entry/src/membership/control.rs
@@ -121,7 +121,7 @@
     ) -> Result<(), Error> {
         let claims = convert::read_claims(params.get()?.get_claims()?)?;
         let n = claims.len() as u32;
-        let claimed = self.entry.claims.write_for(claims).await;
+        let claimed = self.entry.claims.write_batched(claims).await;
         let mut list = results.get().init_results(n);
         for (i, c) in claimed.into_iter().enumerate() {
             list.set(i as u32, convert::write_claim_outcome(c));
--- a/crates/entry/src/route/attempt.rs
+++ b/crates/entry/src/route/attempt.rs
@@ -12,7 +12,7 @@
 use crate::Entry;
 use crate::answer::{Answer, AnswerBody};
 use crate::call::Call;
-use crate::claim::Record;
+use crate::claim::ClaimRecord;
 use crate::membership::upstream::Upstream;
 use crate::refusal::SOON;
 use crate::route::running::Running;
@@ -174,7 +174,7 @@
 }
 
 /// Asks an agent what became of a request, and bars the request from starting if it has not.
-pub async fn settle(entry: &Entry, record: &Record) -> Settlement {
+pub async fn settle(entry: &Entry, record: &ClaimRecord) -> Settlement {
     let mut req = hyper::Request::new(web::empty());
     *req.method_mut() = Method::POST;
     web::set_header(req.headers_mut(), header::SETTLE, &record.request);
--- a/crates/entry/src/route/dispatch.rs
+++ b/crates/entry/src/route/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::Entry;
 use crate::answer::Answer;
 use crate::call::{Call, Safety};
-use crate::claim::{Record, Written, key_of};
+use crate::claim::{ClaimRecord, WriteOutcome, claim_key};
 use crate::membership::upstream::Upstream;
 use crate::refusal::{Refusal, SOON};
 use crate::route::attempt::{Attempt, Settlement, attempt, priority, settle};
@@ -38,7 +38,7 @@
 struct Held {
     key: String,
     tag: Option<Tag>,
-    record: Record,
+    record: ClaimRecord,
 }
 
 impl<'a> Dispatch<'a> {
@@ -57,7 +57,7 @@
     pub async fn run(mut self) -> Result<Answer, Refusal> {
         match &self.call.safety {
             Safety::Keyed(key) => {
-                let key = key_of(&self.call.workspace, key);
+                let key = claim_key(&self.call.workspace, key);
                 self.run_keyed(key).await
             }
             Safety::Once | Safety::Repeatable => self.run_plain().await,
@@ -95,12 +95,12 @@
         let running = self.next_upstream().await?;
         let record = self.record(running.upstream());
         match self.entry.claims.claim(key.clone(), &record).await {
-            Written::Won => {
+            WriteOutcome::Applied => {
                 let tag = None;
                 self.run_held(Held { key, tag, record }, running).await
             }
-            Written::Taken | Written::Unknown => self.run_existing(key, running).await,
-            Written::Down => Err(Refusal::NoClaim(SOON)),
+            WriteOutcome::Conflict | WriteOutcome::Unknown => self.run_existing(key, running).await,
+            WriteOutcome::Failed => Err(Refusal::NoClaim(SOON)),
         }
     }
 
@@ -160,10 +160,10 @@
         let record = self.record(upstream);
         let tag = self.tag_of(&held).await?;
         match self.entry.claims.replace(&held.key, tag, &record).await {
-            Written::Won => {}
-            Written::Taken => return Err(Refusal::KeyRunning(SOON)),
-            Written::Down => return Err(Refusal::NoClaim(SOON)),
-            Written::Unknown => match self.entry.claims.read(&held.key).await {
+            WriteOutcome::Applied => {}
+            WriteOutcome::Conflict => return Err(Refusal::KeyRunning(SOON)),
+            WriteOutcome::Failed => return Err(Refusal::NoClaim(SOON)),
+            WriteOutcome::Unknown => match self.entry.claims.read(&held.key).await {
                 Ok(Some((found, _))) if found == record => {}
                 _ => return Err(Refusal::NoClaim(SOON)),
             },
@@ -192,7 +192,7 @@
         let Ok(tag) = self.tag_of(&held).await else {
             return;
         };
-        let record = Record {
+        let record = ClaimRecord {
             released: true,
             ..held.record
         };
@@ -271,8 +271,8 @@
         self.call.is_unsafe() || !repeatable
     }
 
-    fn record(&self, upstream: &Upstream) -> Record {
-        Record {
+    fn record(&self, upstream: &Upstream) -> ClaimRecord {
+        ClaimRecord {
             request: self.call.id.clone(),
             content: self.call.content(),
             vm: upstream.vm().clone(),
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -18,7 +18,7 @@
 use wire::counted::Traffic;
 
 use crate::admission::Queue;
-use crate::claim::{Claims, Gather};
+use crate::claim::{Batching, Claims};
 use crate::limit::Limiter;
 use crate::membership::fleet::Fleet;
 use crate::membership::links::{AddressBook, ClaimJob};
@@ -114,9 +114,9 @@
 fn new_entry(cfg: EntryCfg, jobs: mpsc::Sender<ClaimJob>) -> Arc<Entry> {
     let upkeep = cfg.upkeep.clone();
     let kv = Kv::new(upkeep.platform.table, upkeep.platform.dial());
-    let gather = Gather {
+    let batching = Batching {
         interval: cfg.claim_interval,
-        batch: cfg.claim_batch as usize,
+        max_batch: cfg.claim_batch as usize,
         retention: cfg.claim_retention,
     };
     let bounds = BurnBounds {
@@ -144,7 +144,7 @@
             queue: Queue::new(cfg.max_queue as usize),
             retries: RetryBudget::new(cfg.retry_budget),
             shares: Shares::default(),
-            claims: Claims::start(kv, gather, claimer, forward),
+            claims: Claims::start(kv, batching, claimer, forward),
             client: Client::new(DialOptions {
                 timeout: cfg.connect_timeout,
                 keep_alive: true,
--- a/crates/lab/src/commands/claims.rs
+++ b/crates/lab/src/commands/claims.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use base::{Digest, new_request_id};
-use entry::claim::{Claims, Gather, Record, Written, key_of};
+use entry::claim::{Batching, ClaimRecord, Claims, WriteOutcome, claim_key};
 use lab::layout::Layout;
 use lab::standin::fault::Faults;
 use lab::standin::platform::Platform;
@@ -80,22 +80,22 @@
 /// Entries that claim in one of the ways.
 fn entries(kv: &Kv, way: &'static str) -> Vec<Claims> {
     let batch = if way == "alone" { 1 } else { 100 };
-    let gather = Gather {
+    let batching = Batching {
         interval: INTERVAL,
-        batch,
+        max_batch: batch,
         retention: Duration::from_secs(3600),
     };
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-    let first = Claims::start(kv.clone(), gather, || None, |_, _| async { Vec::new() });
+    let first = Claims::start(kv.clone(), batching, || None, |_, _| async { Vec::new() });
     let mut all = vec![first.clone()];
     for _ in 1..ENTRIES {
         let claimer = first.clone();
         let forward = move |_, claims| {
             let claimer = claimer.clone();
-            async move { claimer.write_for(claims).await }
+            async move { claimer.write_batched(claims).await }
         };
         let to = (way == "by claimer").then_some(nowhere);
-        all.push(Claims::start(kv.clone(), gather, move || to, forward));
+        all.push(Claims::start(kv.clone(), batching, move || to, forward));
     }
     all
 }
@@ -117,8 +117,10 @@
             tokio::time::sleep_until(at.into()).await;
             let asked = Instant::now();
             let record = record();
-            let written = claims.claim(key_of("lab", &record.request), &record).await;
-            if written != Written::Won {
+            let written = claims
+                .claim(claim_key("lab", &record.request), &record)
+                .await;
+            if written != WriteOutcome::Applied {
                 refused.fetch_add(1, Ordering::Relaxed);
                 return None;
             }
@@ -146,8 +148,8 @@
     }
 }
 
-fn record() -> Record {
-    Record {
+fn record() -> ClaimRecord {
+    ClaimRecord {
         request: new_request_id(),
         content: Digest::of(b"lab"),
         vm: "recife-model-1".into(),
