--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -98,7 +98,7 @@
 }
 
 fn status(entry: &Entry) -> Status {
-    let view = entry.force.current();
+    let view = entry.active_table.current();
     let upkeep = &entry.cfg.upkeep;
     let mut upstreams: Vec<UpstreamStatus> = entry
         .fleet
@@ -108,8 +108,8 @@
             vm: u.vm().clone(),
             listen: u.listen().to_string(),
             revision: u.revision(),
-            leaving: u.leaving() || entry.fleet.listed_leaving(u.vm()),
-            ejected: u.ejected(),
+            leaving: u.is_draining() || entry.fleet.is_listed_draining(u.vm()),
+            ejected: u.is_ejected(),
             running: u.running(),
             holdings: u.holdings().into_iter().map(holding).collect(),
         })
@@ -119,14 +119,14 @@
     Status {
         vm: upkeep.vm.clone(),
         domain: upkeep.domain.clone(),
-        leaving: entry.stopping(),
+        leaving: entry.is_stopping(),
         revision: view.edition.revision,
         in_force_ms: clock::since(view.since).as_millis() as u64,
         age_ms: entry
-            .force
+            .active_table
             .confirmation_age()
             .map(|age| age.as_millis() as u64),
-        entries: others.map(|e| e.note.vm).collect(),
+        entries: others.map(|e| e.update.vm).collect(),
         upstreams,
         remote: entry
             .fleet
@@ -135,7 +135,7 @@
             .map(|u| u.vm().clone())
             .collect(),
         waiting: entry.queue.len(),
-        control_bytes: entry.traffic.bytes(),
+        control_bytes: entry.control_traffic.bytes(),
     }
 }
 
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -13,21 +13,21 @@
 use crate::refusal::Refusal;
 
 /// A waiting request looks again after this long even if nobody wakes it.
-const RECHECK: Duration = Duration::from_millis(50);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Weight of the newest gap between two freed slots in the running mean.
-const NEWEST: f64 = 0.1;
+const GAP_WEIGHT: f64 = 0.1;
 
 /// Longest time a caller is told to come back after.
-const LONGEST_RETRY: Duration = Duration::from_secs(30);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-type Place = (Reverse<u8>, u64);
+type QueueKey = (Reverse<u8>, u64);
 
 #[derive(Debug, Default)]
 struct State {
-    waiting: BTreeMap<Place, oneshot::Sender<()>>,
-    next: u64,
-    freed: Option<Instant>,
+    queued: BTreeMap<QueueKey, oneshot::Sender<()>>,
+    next_sequence: u64,
+    last_freed: Option<Instant>,
     mean_gap: f64,
 }
 
@@ -42,8 +42,8 @@
 #[derive(Debug)]
 pub struct Ticket<'a> {
     queue: &'a Queue,
-    place: Place,
-    woken: oneshot::Receiver<()>,
+    key: QueueKey,
+    wake: oneshot::Receiver<()>,
 }
 
 impl Queue {
@@ -62,45 +62,45 @@
     /// Takes a place, or refuses at once.
     pub fn enter(&self, priority: u8, remaining: Duration) -> Result<Ticket<'_>, Refusal> {
         let mut state = self.state();
-        let wait = state.wait(state.waiting.len());
-        if state.waiting.len() >= self.limit && !state.yields_to(priority) {
+        let wait = state.estimated_wait(state.queued.len());
+        if state.queued.len() >= self.limit && !state.can_displace(priority) {
             return Err(Refusal::Overloaded(state.retry_after()));
         }
-        let ahead = state.ahead(priority);
-        if state.wait(ahead) > remaining {
-            return Err(Refusal::NoTime(wait.min(LONGEST_RETRY)));
+        let ahead = state.count_ahead(priority);
+        if state.estimated_wait(ahead) > remaining {
+            return Err(Refusal::NoTime(wait.min(MAX_RETRY_AFTER)));
         }
-        if state.waiting.len() >= self.limit {
+        if state.queued.len() >= self.limit {
             // Dropping its sender tells the last in line that it was displaced.
-            state.waiting.pop_last();
+            state.queued.pop_last();
         }
-        let place = (Reverse(priority), state.next);
-        state.next += 1;
-        let (tx, woken) = oneshot::channel();
-        state.waiting.insert(place, tx);
+        let key = (Reverse(priority), state.next_sequence);
+        state.next_sequence += 1;
+        let (tx, wake) = oneshot::channel();
+        state.queued.insert(key, tx);
         Ok(Ticket {
             queue: self,
-            place,
-            woken,
+            key,
+            wake,
         })
     }
 
     /// Notes a freed slot and wakes the first in line.
-    pub fn freed(&self) {
+    pub fn slot_freed(&self) {
         let mut state = self.state();
         let now = clock::now();
-        if let Some(last) = state.freed.replace(now) {
-            let gap = now.duration_since(last).as_secs_f64().min(1.0);
-            state.mean_gap += NEWEST * (gap - state.mean_gap);
+        if let Some(previous) = state.last_freed.replace(now) {
+            let gap = now.duration_since(previous).as_secs_f64().min(1.0);
+            state.mean_gap += GAP_WEIGHT * (gap - state.mean_gap);
         }
-        if let Some((_, tx)) = state.waiting.pop_first() {
+        if let Some((_, tx)) = state.queued.pop_first() {
             let _ = tx.send(());
         }
     }
 
     /// Requests waiting.
     pub fn len(&self) -> usize {
-        self.state().waiting.len()
+        self.state().queued.len()
     }
 
     /// Whether nobody waits.
@@ -115,52 +115,52 @@
 }
 
 impl State {
-    fn ahead(&self, priority: u8) -> usize {
-        self.waiting.range(..=(Reverse(priority), u64::MAX)).count()
+    fn count_ahead(&self, priority: u8) -> usize {
+        self.queued.range(..=(Reverse(priority), u64::MAX)).count()
     }
 
-    fn yields_to(&self, priority: u8) -> bool {
-        self.waiting
+    fn can_displace(&self, priority: u8) -> bool {
+        self.queued
             .last_key_value()
             .is_some_and(|((Reverse(lowest), _), _)| *lowest < priority)
     }
 
-    fn wait(&self, ahead: usize) -> Duration {
+    fn estimated_wait(&self, ahead: usize) -> Duration {
         Duration::from_secs_f64(self.mean_gap * ahead as f64)
     }
 
     fn retry_after(&self) -> Duration {
-        self.wait(self.waiting.len())
-            .clamp(Duration::from_millis(100), LONGEST_RETRY)
+        self.estimated_wait(self.queued.len())
+            .clamp(Duration::from_millis(100), MAX_RETRY_AFTER)
     }
 }
 
 impl Ticket<'_> {
     /// Waits until it is worth looking for a slot; refuses a request that was displaced.
-    pub async fn turn(&mut self, deadline: Instant) -> Result<(), Refusal> {
-        let until = (clock::now() + RECHECK).min(deadline);
+    pub async fn wait(&mut self, deadline: Instant) -> Result<(), Refusal> {
+        let recheck_at = (clock::now() + RECHECK_INTERVAL).min(deadline);
         tokio::select! {
-            woken = &mut self.woken => match woken {
+            wake = &mut self.wake => match wake {
                 Ok(()) => {
-                    self.rejoin();
+                    self.requeue();
                     Ok(())
                 }
                 Err(_) => Err(Refusal::Overloaded(self.queue.retry_after())),
             },
-            _ = clock::sleep_until(until) => Ok(()),
+            _ = clock::sleep_until(recheck_at) => Ok(()),
         }
     }
 
     /// Takes the old place again, in case the freed slot was of no use.
-    fn rejoin(&mut self) {
-        let (tx, woken) = oneshot::channel();
-        self.queue.state().waiting.insert(self.place, tx);
-        self.woken = woken;
+    fn requeue(&mut self) {
+        let (tx, wake) = oneshot::channel();
+        self.queue.state().queued.insert(self.key, tx);
+        self.wake = wake;
     }
 }
 
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
-        self.queue.state().waiting.remove(&self.place);
+        self.queue.state().queued.remove(&self.key);
     }
 }
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -18,10 +18,10 @@
 use wire::{Claim, ClaimOutcome};
 
 /// Claims that may wait to be written; more are refused.
-const MAX_WAITING: usize = 4096;
+const MAX_QUEUED: usize = 4096;
 
 /// Transactions on their way at once.
-const MAX_WRITES: usize = 8;
+const MAX_CONCURRENT_WRITES: usize = 8;
 
 /// What is written under a key: which request holds it, and where that request was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingClaim {
     claim: Claim,
     tx: oneshot::Sender<ClaimOutcome>,
 }
@@ -77,8 +77,8 @@
 pub struct Claims {
     kv: Kv,
     batching: Batching,
-    own: mpsc::Sender<Pending>,
-    writer: mpsc::Sender<Pending>,
+    forward_queue: mpsc::Sender<PendingClaim>,
+    write_queue: mpsc::Sender<PendingClaim>,
 }
 
 /// Key of a workspace's idempotency key.
@@ -90,33 +90,33 @@
 impl Claims {
     /// Starts the writer. `claimer` names the entry that writes for this one, or `None` where this
     /// one does; `forward` hands claims to it.
-    pub fn start<C, W, F>(kv: Kv, batching: Batching, claimer: C, forward: W) -> Claims
+    pub fn start<C, W, F>(kv: Kv, batching: Batching, claim_writer: C, forward: W) -> Claims
     where
         C: Fn() -> Option<SocketAddr> + Send + Sync + 'static,
         W: Fn(SocketAddr, Vec<Claim>) -> F + Send + Sync + 'static,
         F: Future<Output = Vec<ClaimOutcome>> + Send + 'static,
     {
-        let (writer, to_write) = mpsc::channel(MAX_WAITING);
-        let (own, own_claims) = mpsc::channel(MAX_WAITING);
+        let (write_queue, to_write) = mpsc::channel(MAX_QUEUED);
+        let (forward_queue, to_forward) = mpsc::channel(MAX_QUEUED);
         let claims = Claims {
             kv,
             batching,
-            own,
-            writer,
+            forward_queue,
+            write_queue,
         };
-        let committing = claims.clone();
-        tokio::spawn(gather_claims(to_write, batching, move |batch| {
-            let committing = committing.clone();
-            async move { committing.commit(batch).await }
+        let committer = claims.clone();
+        tokio::spawn(batch_claims(to_write, batching, move |batch| {
+            let committer = committer.clone();
+            async move { committer.commit(batch).await }
         }));
-        let writing = claims.clone();
-        tokio::spawn(gather_claims(own_claims, batching, move |batch| {
-            let forwarded = claimer().map(|to| forward(to, batch.clone()));
-            let writing = writing.clone();
+        let writer = claims.clone();
+        tokio::spawn(batch_claims(to_forward, batching, move |batch| {
+            let forwarded = claim_writer().map(|to| forward(to, batch.clone()));
+            let writer = writer.clone();
             async move {
                 match forwarded {
                     Some(forwarded) => forwarded.await,
-                    None => writing.write_batched(batch).await,
+                    None => writer.write_batched(batch).await,
                 }
             }
         }));
@@ -127,7 +127,7 @@
     pub async fn claim(&self, key: String, record: &ClaimRecord) -> WriteOutcome {
         let value = serde_json::to_string(record).expect("plain data");
         let ttl = self.batching.retention;
-        let claimed = enqueue(&self.own, Claim { key, value, ttl }).await;
+        let claimed = enqueue(&self.forward_queue, Claim { key, value, ttl }).await;
         match claimed {
             ClaimOutcome::Won => WriteOutcome::Applied,
             ClaimOutcome::Taken => WriteOutcome::Conflict,
@@ -138,7 +138,7 @@
 
     /// Takes in claims, of this entry or another, and writes them with what else has gathered.
     pub async fn write_batched(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
-        let written = claims.into_iter().map(|c| enqueue(&self.writer, c));
+        let written = claims.into_iter().map(|c| enqueue(&self.write_queue, c));
         join_all(written).await
     }
 
@@ -171,9 +171,9 @@
     /// Writes claims in one transaction; claims whose key is taken are left out and told so.
     pub async fn commit(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
         let mut results = vec![ClaimOutcome::Taken; claims.len()];
-        let mut left: Vec<usize> = first_of_each_key(&claims);
-        while !left.is_empty() {
-            let ops = left
+        let mut remaining: Vec<usize> = first_of_each_key(&claims);
+        while !remaining.is_empty() {
+            let ops = remaining
                 .iter()
                 .map(|i| op(&claims[*i], Unless::Present))
                 .collect();
@@ -181,9 +181,9 @@
             let result = match self.kv.commit(ops).await {
                 Ok(Ok(_)) => ClaimOutcome::Won,
                 Ok(Err(taken)) => {
-                    let before = left.len();
-                    left.retain(|i| !taken.contains(&claims[*i].key));
-                    match left.len() < before {
+                    let before = remaining.len();
+                    remaining.retain(|i| !taken.contains(&claims[*i].key));
+                    match remaining.len() < before {
                         true => continue,
                         false => ClaimOutcome::Unknown,
                     }
@@ -191,7 +191,7 @@
                 Err(e) if e.may_have_written() => ClaimOutcome::Unknown,
                 Err(_) => ClaimOutcome::Unavailable,
             };
-            left.drain(..).for_each(|i| results[i] = result);
+            remaining.drain(..).for_each(|i| results[i] = result);
         }
         results
     }
@@ -215,9 +215,9 @@
 }
 
 /// Puts a claim in line and waits for what becomes of it.
-async fn enqueue(line: &mpsc::Sender<Pending>, claim: Claim) -> ClaimOutcome {
+async fn enqueue(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> ClaimOutcome {
     let (tx, rx) = oneshot::channel();
-    match line.try_send(Pending { claim, tx }) {
+    match queue.try_send(PendingClaim { claim, tx }) {
         Ok(()) => rx.await.unwrap_or(ClaimOutcome::Unknown),
         Err(_) => ClaimOutcome::Unavailable,
     }
@@ -225,17 +225,17 @@
 
 /// Gathers claims for half the interval and writes each batch on a task of its own; a claim
 /// passes two such lines, that of its entry and that of the claimer.
-async fn gather_claims<W, F>(mut rx: mpsc::Receiver<Pending>, batching: Batching, write: W)
+async fn batch_claims<W, F>(mut rx: mpsc::Receiver<PendingClaim>, batching: Batching, write: W)
 where
     W: Fn(Vec<Claim>) -> F,
     F: Future<Output = Vec<ClaimOutcome>> + Send + 'static,
 {
-    let writes = Arc::new(Semaphore::new(MAX_WRITES));
+    let writes = Arc::new(Semaphore::new(MAX_CONCURRENT_WRITES));
     while let Some(first) = rx.recv().await {
         let mut batch = vec![first];
-        let until = clock::now() + batching.interval / 2;
+        let batch_until = clock::now() + batching.interval / 2;
         while batch.len() < batching.max_batch {
-            match clock::timeout_at(until, rx.recv()).await {
+            match clock::timeout_at(batch_until, rx.recv()).await {
                 Ok(Some(next)) => batch.push(next),
                 Ok(None) | Err(_) => break,
             }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -14,14 +14,14 @@
 
 pub mod admin;
 pub mod admission;
-pub mod answer;
-pub mod call;
 pub mod claim;
 pub mod limit;
 pub mod membership;
 pub mod poll;
 pub mod refusal;
-pub mod retry;
+pub mod request;
+pub mod response;
+pub mod retry_budget;
 pub mod route;
 pub mod run;
 pub mod serve;
@@ -40,10 +40,10 @@
 /// Bytes that one heartbeat with its answer costs on the link, acknowledgements included.
 ///
 /// Measured by `driftnotch-lab control`; docs/CAPACITY.md has the figures.
-const BEAT_COST: u64 = 600;
+const HEARTBEAT_BYTES: u64 = 600;
 
 /// Time in which all agents of the failure domain have tried to join a new entry.
-const JOIN_TIME: Duration = Duration::from_secs(4);
+const JOIN_WINDOW: Duration = Duration::from_secs(4);
 
 /// Whether an entry can send requests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     /// Settings.
     pub cfg: EntryCfg,
     /// The edition it serves by.
-    pub force: Arc<ActiveTable>,
+    pub active_table: Arc<ActiveTable>,
     /// Upstreams and entries it knows.
     pub fleet: membership::fleet::Fleet,
     /// Limits.
@@ -72,9 +72,9 @@
     /// Requests that wait for a slot.
     pub queue: admission::Queue,
     /// Retry budget.
-    pub retries: retry::RetryBudget,
+    pub retry_budget: retry_budget::RetryBudget,
     /// Split of traffic over versions.
-    pub shares: route::share::Shares,
+    pub traffic_split: route::split::TrafficSplit,
     /// Claims on idempotency keys.
     pub claims: claim::Claims,
     /// Client towards agents.
@@ -82,17 +82,17 @@
     /// Metrics.
     pub telemetry: Arc<telemetry::Telemetry>,
     /// Bytes of control links.
-    pub traffic: Traffic,
+    pub control_traffic: Traffic,
     /// Addresses of entries to link to.
-    pub book: membership::links::AddressBook,
+    pub address_book: membership::links::AddressBook,
     /// When it started.
-    pub begun: Instant,
+    pub started_at: Instant,
     stopping: AtomicBool,
 }
 
 impl Entry {
     /// Whether a planned stop has begun.
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
@@ -109,29 +109,31 @@
             local.iter().any(|u| u.holdings().iter().any(|h| h.live))
                 || !self.fleet.remote().is_empty()
         };
-        match self.force.confirmation_age() {
-            _ if self.stopping() => Readiness::Stopping,
+        match self.active_table.confirmation_age() {
+            _ if self.is_stopping() => Readiness::Stopping,
             None => Readiness::NoTable,
-            Some(_) if clock::since(self.begun) < JOIN_TIME && !any_live() => Readiness::NoAgents,
+            Some(_) if clock::since(self.started_at) < JOIN_WINDOW && !any_live() => {
+                Readiness::NoAgents
+            }
             Some(_) => Readiness::Ready,
         }
     }
 
     /// Time between two heartbeats of an agent: longer the more agents have joined here, so that
     /// all of them together stay within half of the control budget.
-    pub fn beat_interval(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         let agents = self.fleet.joined() as u64;
-        let cost = Duration::from_millis(agents * BEAT_COST * 2000 / self.cfg.control_budget);
+        let cost = Duration::from_millis(agents * HEARTBEAT_BYTES * 2000 / self.cfg.control_budget);
         cost.max(self.cfg.heartbeat)
     }
 
     /// Time an agent may be silent before it gets no new requests.
     pub fn lease(&self) -> Duration {
-        self.beat_interval() * self.cfg.lease_beats as u32
+        self.heartbeat_interval() * self.cfg.lease_beats as u32
     }
 
     /// Entries of this failure domain that are up, this one included.
-    pub fn siblings(&self) -> u32 {
+    pub fn entry_count(&self) -> u32 {
         self.fleet.siblings().len() as u32 + 1
     }
 }
--- a/crates/entry/src/limit.rs
+++ b/crates/entry/src/limit.rs
@@ -16,11 +16,11 @@
 const BURST: Duration = Duration::from_secs(1);
 
 /// Idle counters are dropped after this long.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What is limited.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Subject {
+enum LimitScope {
     Row(String),
     Workspace(String, String),
 }
@@ -28,28 +28,28 @@
 #[derive(Debug)]
 struct Counter {
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
     running: u32,
 }
 
 /// Counters of all subjects.
 #[derive(Debug, Clone, Default)]
 pub struct Limiter {
-    counters: Arc<Mutex<Map<Subject, Counter>>>,
+    counters: Arc<Mutex<Map<LimitScope, Counter>>>,
 }
 
 /// A request counted as running; uncounted when dropped.
 #[derive(Debug)]
-pub struct Counted {
+pub struct LimitPermit {
     limiter: Limiter,
-    subjects: [Subject; 2],
+    scopes: [LimitScope; 2],
 }
 
-impl Drop for Counted {
+impl Drop for LimitPermit {
     fn drop(&mut self) {
         let mut counters = self.limiter.lock();
-        for subject in &self.subjects {
-            if let Some(counter) = counters.get_mut(subject) {
+        for scope in &self.scopes {
+            if let Some(counter) = counters.get_mut(scope) {
                 counter.running = counter.running.saturating_sub(1);
             }
         }
@@ -58,63 +58,68 @@
 
 impl Limiter {
     /// Counts a request in, or refuses it with the time to come back after.
-    pub fn enter(&self, row: &Row, workspace: &str, entries: u32) -> Result<Counted, Refusal> {
+    pub fn acquire(
+        &self,
+        row: &Row,
+        workspace: &str,
+        entries: u32,
+    ) -> Result<LimitPermit, Refusal> {
         let name = row.name();
-        let subjects = [
-            Subject::Row(name.clone()),
-            Subject::Workspace(name.clone(), workspace.to_owned()),
+        let scopes = [
+            LimitScope::Row(name.clone()),
+            LimitScope::Workspace(name.clone(), workspace.to_owned()),
         ];
-        let l = row.limits;
-        let wanted = [
-            (&subjects[0], name.as_str(), l.rps, l.running),
+        let limits = row.limits;
+        let checks = [
+            (&scopes[0], name.as_str(), limits.rps, limits.running),
             (
-                &subjects[1],
+                &scopes[1],
                 workspace,
-                l.workspace_rps,
-                l.workspace_running,
+                limits.workspace_rps,
+                limits.workspace_running,
             ),
         ];
         let mut counters = self.lock();
-        for (subject, who, rps, running) in wanted {
-            let counter = counters.entry(subject.clone()).or_insert_with(|| Counter {
+        for (scope, name, rps, running) in checks {
+            let counter = counters.entry(scope.clone()).or_insert_with(|| Counter {
                 tokens: f64::INFINITY,
-                filled: clock::now(),
+                refilled_at: clock::now(),
                 running: 0,
             });
             counter.check(
-                who,
-                rps.map(|n| part(n, entries)),
-                running.map(|n| part(n, entries)),
+                name,
+                rps.map(|n| per_entry(n, entries)),
+                running.map(|n| per_entry(n, entries)),
             )?;
         }
-        for (subject, _, rps, _) in wanted {
-            let counter = counters.get_mut(subject).expect("made above");
+        for (scope, _, rps, _) in checks {
+            let counter = counters.get_mut(scope).expect("inserted above");
             counter.running += 1;
             counter.tokens -= f64::from(u8::from(rps.is_some()));
         }
-        Ok(Counted {
+        Ok(LimitPermit {
             limiter: self.clone(),
-            subjects,
+            scopes,
         })
     }
 
     /// Drops counters that have been idle.
-    pub fn tidy(&self) {
+    pub fn remove_idle(&self) {
         self.lock()
-            .retain(|_, c| c.running > 0 || clock::since(c.filled) < IDLE);
+            .retain(|_, c| c.running > 0 || clock::since(c.refilled_at) < IDLE_TIMEOUT);
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Map<Subject, Counter>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, Map<LimitScope, Counter>> {
         self.counters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Counter {
-    fn check(&mut self, who: &str, rps: Option<f64>, running: Option<f64>) -> Result<(), Refusal> {
+    fn check(&mut self, name: &str, rps: Option<f64>, running: Option<f64>) -> Result<(), Refusal> {
         if let Some(limit) = running.filter(|limit| f64::from(self.running) >= limit.ceil()) {
             let after = Duration::from_secs_f64((1.0 / limit).clamp(0.1, 10.0));
             return Err(Refusal::OverLimit(
-                who.to_owned(),
+                name.to_owned(),
                 "running requests",
                 after,
             ));
@@ -122,11 +127,11 @@
         let Some(rate) = rps else {
             return Ok(());
         };
-        self.fill(rate);
+        self.refill(rate);
         if self.tokens < 1.0 {
             let after = Duration::from_secs_f64((1.0 - self.tokens) / rate);
             return Err(Refusal::OverLimit(
-                who.to_owned(),
+                name.to_owned(),
                 "requests a second",
                 after,
             ));
@@ -134,15 +139,15 @@
         Ok(())
     }
 
-    fn fill(&mut self, rate: f64) {
+    fn refill(&mut self, rate: f64) {
         let now = clock::now();
-        let earned = now.duration_since(self.filled).as_secs_f64() * rate;
-        let most = (rate * BURST.as_secs_f64()).max(1.0);
-        self.tokens = (self.tokens + earned).min(most);
-        self.filled = now;
+        let earned = now.duration_since(self.refilled_at).as_secs_f64() * rate;
+        let max_tokens = (rate * BURST.as_secs_f64()).max(1.0);
+        self.tokens = (self.tokens + earned).min(max_tokens);
+        self.refilled_at = now;
     }
 }
 
-fn part(limit: u32, entries: u32) -> f64 {
+fn per_entry(limit: u32, entries: u32) -> f64 {
     f64::from(limit) / f64::from(entries.max(1))
 }
--- a/crates/entry/src/membership/control.rs
+++ b/crates/entry/src/membership/control.rs
@@ -15,7 +15,7 @@
 use wire::{EntryUpdate, Freshness, HeartbeatReply, WireError, convert};
 
 use crate::Entry;
-use crate::membership::links::{self, follow};
+use crate::membership::links::{self, apply_patch};
 use crate::membership::upstream::Upstream;
 
 /// Log prefix of this part.
@@ -23,10 +23,10 @@
 
 /// Editions that may be pushed over a link at once, and time after which one more may.
 const PUSH_BURST: f64 = 20.0;
-const PUSH_GAP: Duration = Duration::from_secs(2);
+const PUSH_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Entries named to another process at once.
-const ENTRY_SAMPLE: usize = 4;
+const MAX_SAMPLED_ENTRIES: usize = 4;
 
 /// Accepts links for as long as the process runs; call within a `LocalSet`.
 pub async fn listen(entry: Arc<Entry>, listener: TcpListener) {
@@ -38,7 +38,7 @@
         let server: rpc::Client = capnp_rpc::new_client(EntryServer {
             entry: entry.clone(),
         });
-        let traffic = entry.traffic.clone();
+        let traffic = entry.control_traffic.clone();
         tokio::task::spawn_local(async move {
             if let Err(e) = wire::accept(stream, server, &traffic).await {
                 debug!(target: PART, "{PART}: link from {from} ended: {e}");
@@ -67,10 +67,10 @@
         }
         info!(target: PART, "{PART}: agent {} joined from {}", info.vm, info.listen);
         let upstream = self.entry.fleet.join(info, self.entry.lease());
-        let server = SeatServer {
+        let server = SessionServer {
             entry: self.entry.clone(),
             upstream,
-            pushes: RefCell::new(Pushes::new()),
+            push_limiter: RefCell::new(PushLimiter::new()),
         };
         results.get().set_seat(capnp_rpc::new_client(server));
         Ok(())
@@ -81,15 +81,17 @@
         params: rpc::ExchangeParams,
         mut results: rpc::ExchangeResults,
     ) -> Result<(), Error> {
-        let note = convert::read_entry_update(params.get()?.get_note()?)?;
-        let to = note.domain.clone();
+        let update = convert::read_entry_update(params.get()?.get_note()?)?;
+        let to = update.domain.clone();
         self.entry
-            .book
-            .add(note.entries.iter().chain([&note.control]));
-        let from = note.control;
-        let interval = links::interval(&self.entry);
-        self.entry.fleet.heard(note, self.entry.lease(), interval);
-        let own = own_note(&self.entry, &to, Some(from));
+            .address_book
+            .add(update.entries.iter().chain([&update.control]));
+        let from = update.control;
+        let interval = links::exchange_interval(&self.entry);
+        self.entry
+            .fleet
+            .apply_update(update, self.entry.lease(), interval);
+        let own = own_update(&self.entry, &to, Some(from));
         convert::write_entry_update(results.get().init_note(), &own);
         Ok(())
     }
@@ -99,7 +101,7 @@
         params: rpc::WatchParams,
         mut results: rpc::WatchResults,
     ) -> Result<(), Error> {
-        let patch = later_than(&self.entry, params.get()?.get_have()).await?;
+        let patch = wait_for_newer(&self.entry, params.get()?.get_have()).await?;
         convert::write_patch(results.get().init_edition(), &patch);
         Ok(())
     }
@@ -110,7 +112,7 @@
         _: rpc::OfferResults,
     ) -> Result<(), Error> {
         let patch = convert::read_patch(params.get()?.get_edition()?)?;
-        follow(&self.entry, patch);
+        apply_patch(&self.entry, patch);
         Ok(())
     }
 
@@ -131,59 +133,59 @@
 }
 
 /// An agent's seat; the agent is forgotten when its link ends.
-struct SeatServer {
+struct SessionServer {
     entry: Arc<Entry>,
     upstream: Arc<Upstream>,
-    pushes: RefCell<Pushes>,
+    push_limiter: RefCell<PushLimiter>,
 }
 
 /// Editions sent over one link of late. A burst of edits is gathered once the allowance is used up,
 /// so that it costs a link one push in a while and not one for each edit.
-struct Pushes {
-    allowance: f64,
-    filled: Instant,
+struct PushLimiter {
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl Pushes {
-    fn new() -> Pushes {
-        Pushes {
-            allowance: PUSH_BURST,
-            filled: clock::now(),
+impl PushLimiter {
+    fn new() -> PushLimiter {
+        PushLimiter {
+            tokens: PUSH_BURST,
+            refilled_at: clock::now(),
         }
     }
 
     /// Takes one push; how long to wait before it.
-    fn take(&mut self) -> Duration {
-        let earned = clock::since(self.filled).as_secs_f64() / PUSH_GAP.as_secs_f64();
-        self.filled = clock::now();
-        self.allowance = (self.allowance + earned).min(PUSH_BURST) - 1.0;
-        PUSH_GAP.mul_f64((-self.allowance).max(0.0))
+    fn reserve(&mut self) -> Duration {
+        let earned = clock::since(self.refilled_at).as_secs_f64() / PUSH_INTERVAL.as_secs_f64();
+        self.refilled_at = clock::now();
+        self.tokens = (self.tokens + earned).min(PUSH_BURST) - 1.0;
+        PUSH_INTERVAL.mul_f64((-self.tokens).max(0.0))
     }
 }
 
-impl Drop for SeatServer {
+impl Drop for SessionServer {
     fn drop(&mut self) {
         info!(target: PART, "{PART}: agent {} parted", self.upstream.vm());
-        self.entry.fleet.part(&self.upstream);
+        self.entry.fleet.link_closed(&self.upstream);
     }
 }
 
-impl seat::Server for SeatServer {
+impl seat::Server for SessionServer {
     async fn beat(
         self: Rc<Self>,
         params: seat::BeatParams,
         mut results: seat::BeatResults,
     ) -> Result<(), Error> {
-        let beat = convert::read_heartbeat(params.get()?.get_beat()?)?;
-        let seen = beat.entries_seen;
+        let heartbeat = convert::read_heartbeat(params.get()?.get_beat()?)?;
+        let seen = heartbeat.entries_seen;
         self.entry
             .fleet
-            .beat(&self.upstream, beat, self.entry.lease());
+            .apply_heartbeat(&self.upstream, heartbeat, self.entry.lease());
         let entries_seen = self.entry.fleet.entries_seen();
         let reply = HeartbeatReply {
             freshness: freshness(&self.entry),
-            interval: self.entry.beat_interval(),
-            leaving: self.entry.fleet.listed_leaving(self.upstream.vm()),
+            interval: self.entry.heartbeat_interval(),
+            leaving: self.entry.fleet.is_listed_draining(self.upstream.vm()),
             entries_seen,
             entries: match seen == entries_seen {
                 true => Vec::new(),
@@ -200,10 +202,10 @@
         mut results: seat::WatchResults,
     ) -> Result<(), Error> {
         let have = params.get()?.get_have();
-        later_than(&self.entry, have).await?;
-        let wait = self.pushes.borrow_mut().take();
+        wait_for_newer(&self.entry, have).await?;
+        let wait = self.push_limiter.borrow_mut().reserve();
         tokio::time::sleep(wait).await;
-        let patch = self.entry.force.patch_from(have);
+        let patch = self.entry.active_table.patch_from(have);
         convert::write_patch(results.get().init_edition(), &patch);
         Ok(())
     }
@@ -214,7 +216,7 @@
         _: seat::OfferResults,
     ) -> Result<(), Error> {
         let patch = convert::read_patch(params.get()?.get_edition()?)?;
-        follow(&self.entry, patch);
+        apply_patch(&self.entry, patch);
         Ok(())
     }
 
@@ -233,58 +235,58 @@
 }
 
 /// Waits for an edition later than the one the other side has.
-async fn later_than(entry: &Entry, have: Revision) -> Result<Patch, Error> {
-    let mut views = entry.force.subscribe();
+async fn wait_for_newer(entry: &Entry, have: Revision) -> Result<Patch, Error> {
+    let mut views = entry.active_table.subscribe();
     views
         .wait_for(|view| view.edition.revision > have)
         .await
         .map_err(|e| Error::failed(e.to_string()))?;
-    Ok(entry.force.patch_from(have))
+    Ok(entry.active_table.patch_from(have))
 }
 
 /// What this entry serves by. An unconfirmed one has an age that no hold allows.
 fn freshness(entry: &Entry) -> Freshness {
     Freshness {
-        revision: entry.force.revision(),
+        revision: entry.active_table.revision(),
         age: entry
-            .force
+            .active_table
             .confirmation_age()
             .unwrap_or(wire::NEVER_CONFIRMED),
     }
 }
 
 /// What this entry tells an entry of a failure domain; `None` where it isn't known yet which.
-pub fn own_note(entry: &Entry, to: &str, addr: Option<SocketAddr>) -> EntryUpdate {
+pub fn own_update(entry: &Entry, to: &str, addr: Option<SocketAddr>) -> EntryUpdate {
     let upkeep = &entry.cfg.upkeep;
     let fleet = &entry.fleet;
     let sibling = to == upkeep.domain;
     let state = fleet.state(to);
-    let told = addr.is_some_and(|addr| fleet.taken_by(addr) != state);
+    let has_lists = addr.is_some_and(|addr| fleet.acknowledged_state(addr) != state);
     EntryUpdate {
         vm: upkeep.vm.clone(),
         domain: upkeep.domain.clone(),
         control: entry.cfg.control_reached(),
         freshness: freshness(entry),
-        leaving: entry.stopping(),
-        entries: entry.book.sample(ENTRY_SAMPLE),
+        leaving: entry.is_stopping(),
+        entries: entry.address_book.sample(MAX_SAMPLED_ENTRIES),
         state,
-        applied_state: addr.map_or(0, |addr| fleet.applied(addr)),
-        has_lists: told,
-        agents: only(told && sibling, || fleet.digests()),
-        replicas: only(told && !sibling, || fleet.replicas()),
-        rollouts: only(told && !sibling, || fleet.rollouts()),
+        applied_state: addr.map_or(0, |addr| fleet.applied_state(addr)),
+        has_lists,
+        agents: list_if(has_lists && sibling, || fleet.joined_agents()),
+        replicas: list_if(has_lists && !sibling, || fleet.live_replicas()),
+        rollouts: list_if(has_lists && !sibling, || fleet.rollouts()),
     }
 }
 
 /// The list if it is wanted, else none.
-fn only<T>(wanted: bool, list: impl Fn() -> Vec<T>) -> Vec<T> {
-    match wanted {
+fn list_if<T>(included: bool, list: impl Fn() -> Vec<T>) -> Vec<T> {
+    match included {
         true => list(),
         false => Vec::new(),
     }
 }
 
 fn domain_entries(entry: &Entry) -> Vec<SocketAddr> {
-    let siblings = entry.fleet.siblings().into_iter().map(|e| e.note.control);
+    let siblings = entry.fleet.siblings().into_iter().map(|e| e.update.control);
     siblings.chain([entry.cfg.control_reached()]).collect()
 }
--- a/crates/entry/src/membership/fleet.rs
+++ b/crates/entry/src/membership/fleet.rs
@@ -20,53 +20,53 @@
 use crate::membership::upstream::Upstream;
 
 /// Live replicas of one version a domain tells others of.
-const REPLICA_SAMPLE: usize = 8;
+const MAX_REPLICAS: usize = 8;
 
 /// Agents of one rollout a domain tells others of.
-const ROLLOUT_SAMPLE: usize = 512;
+const MAX_ROLLOUT_PEERS: usize = 512;
 
 /// How long an entry that says nothing is still counted, at least.
-const ENTRY_LEASE: Duration = Duration::from_secs(10);
+const MIN_ENTRY_LEASE: Duration = Duration::from_secs(10);
 
 /// Exchanges of notes that an entry may miss.
-const ENTRY_BEATS: u32 = 3;
+const MAX_MISSED_EXCHANGES: u32 = 3;
 
 /// Another entry, as its notes told.
 #[derive(Debug, Clone)]
-pub struct OtherEntry {
+pub struct PeerEntry {
     /// Last note, without its lists.
-    pub note: EntryUpdate,
+    pub update: EntryUpdate,
     /// Rollouts of its domain, as last told.
     pub rollouts: Vec<Rollout>,
     /// State of its lists that was last taken.
-    pub applied: u64,
+    pub applied_state: u64,
     /// When it was last heard.
-    heard: Instant,
+    last_seen: Instant,
     lease: Duration,
 }
 
-impl OtherEntry {
-    fn alive(&self) -> bool {
-        !self.note.leaving && clock::since(self.heard) < self.lease
+impl PeerEntry {
+    fn is_alive(&self) -> bool {
+        !self.update.leaving && clock::since(self.last_seen) < self.lease
     }
 }
 
 /// An upstream of the own domain: how many links its agent keeps here, and which entries tell of it.
 #[derive(Debug)]
-struct Local {
+struct LocalUpstream {
     upstream: Arc<Upstream>,
-    seats: u32,
-    told_by: Set<SocketAddr>,
+    links: u32,
+    reported_by: Set<SocketAddr>,
 }
 
 /// Upstreams and entries.
 #[derive(Debug)]
 pub struct Fleet {
     domain: DomainName,
-    local: RwLock<Map<VmId, Local>>,
+    local: RwLock<Map<VmId, LocalUpstream>>,
     remote: RwLock<Map<VmId, Arc<Upstream>>>,
-    entries: RwLock<Map<SocketAddr, OtherEntry>>,
-    listed_leaving: RwLock<Set<VmId>>,
+    entries: RwLock<Map<SocketAddr, PeerEntry>>,
+    listed_draining: RwLock<Set<VmId>>,
     entries_seen: AtomicU64,
     joined_state: watch::Sender<u64>,
     domain_state: watch::Sender<u64>,
@@ -82,7 +82,7 @@
             local: RwLock::default(),
             remote: RwLock::default(),
             entries: RwLock::default(),
-            listed_leaving: RwLock::default(),
+            listed_draining: RwLock::default(),
             entries_seen: AtomicU64::new(1),
             joined_state: watch::Sender::new(first_state),
             domain_state: watch::Sender::new(first_state),
@@ -94,9 +94,9 @@
         let mut all = write(&self.local);
         let known = all
             .entry(info.vm.clone())
-            .and_modify(|known| known.renew(&info, lease))
-            .or_insert_with(|| Local::new(info, lease));
-        known.seats += 1;
+            .and_modify(|known| known.replace_if_newer(&info, lease))
+            .or_insert_with(|| LocalUpstream::new(info, lease));
+        known.links += 1;
         let upstream = known.upstream.clone();
         drop(all);
         self.joined_changed();
@@ -104,30 +104,30 @@
     }
 
     /// Notes that a link of an agent ended; forgets the agent if nobody else tells of it.
-    pub fn part(&self, upstream: &Arc<Upstream>) {
+    pub fn link_closed(&self, upstream: &Arc<Upstream>) {
         let mut all = write(&self.local);
-        let mut tellers = Set::default();
+        let mut reporters = Set::default();
         if let Some(known) = all.get_mut(upstream.vm())
             && Arc::ptr_eq(&known.upstream, upstream)
         {
-            known.seats = known.seats.saturating_sub(1);
-            tellers.clone_from(&known.told_by);
+            known.links = known.links.saturating_sub(1);
+            reporters.clone_from(&known.reported_by);
         }
-        all.retain(|_, known| known.wanted());
+        all.retain(|_, known| known.is_known());
         drop(all);
         // What they told while the agent itself was heard was not taken: have it told again.
         let mut entries = write(&self.entries);
-        let again = entries
+        let to_resend = entries
             .iter_mut()
-            .filter(|(addr, _)| tellers.contains(*addr));
-        again.for_each(|(_, entry)| entry.applied = 0);
+            .filter(|(addr, _)| reporters.contains(*addr));
+        to_resend.for_each(|(_, entry)| entry.applied_state = 0);
         drop(entries);
         self.joined_changed();
     }
 
     /// Takes a heartbeat of an agent that joined here.
-    pub fn beat(&self, upstream: &Upstream, beat: Heartbeat, lease: Duration) {
-        if upstream.beat(beat, lease) {
+    pub fn apply_heartbeat(&self, upstream: &Upstream, heartbeat: Heartbeat, lease: Duration) {
+        if upstream.apply_heartbeat(heartbeat, lease) {
             self.joined_changed();
         }
     }
@@ -169,7 +169,7 @@
 
     /// Number of agents that have joined here.
     pub fn joined(&self) -> usize {
-        read(&self.local).values().filter(|k| k.seats > 0).count()
+        read(&self.local).values().filter(|k| k.links > 0).count()
     }
 
     /// Upstreams known from other domains.
@@ -178,40 +178,46 @@
     }
 
     /// Takes the platform's list of leaving VMs.
-    pub fn set_listed_leaving(&self, vms: Set<VmId>) {
-        *write(&self.listed_leaving) = vms;
+    pub fn set_listed_draining(&self, vms: Set<VmId>) {
+        *write(&self.listed_draining) = vms;
     }
 
     /// Whether the platform lists a VM as leaving.
-    pub fn listed_leaving(&self, vm: &str) -> bool {
-        read(&self.listed_leaving).contains(vm)
+    pub fn is_listed_draining(&self, vm: &str) -> bool {
+        read(&self.listed_draining).contains(vm)
     }
 
     /// Takes a note of another entry; `interval` is the time between two of them.
-    pub fn heard(&self, mut note: EntryUpdate, lease: Duration, interval: Duration) {
-        let from = note.control;
-        let told = note.has_lists;
-        let agents = std::mem::take(&mut note.agents);
-        let replicas = std::mem::take(&mut note.replicas);
-        let rollouts = std::mem::take(&mut note.rollouts);
-        let entry_lease = ENTRY_LEASE.max(interval * ENTRY_BEATS);
-        match note.domain == self.domain {
-            true if told => self.take_agents(from, agents, lease.max(entry_lease)),
+    pub fn apply_update(&self, mut update: EntryUpdate, lease: Duration, interval: Duration) {
+        let from = update.control;
+        let has_lists = update.has_lists;
+        let agents = std::mem::take(&mut update.agents);
+        let replicas = std::mem::take(&mut update.replicas);
+        let rollouts = std::mem::take(&mut update.rollouts);
+        let entry_lease = MIN_ENTRY_LEASE.max(interval * MAX_MISSED_EXCHANGES);
+        match update.domain == self.domain {
+            true if has_lists => self.apply_agents(from, agents, lease.max(entry_lease)),
             true => self.renew_agents(from, lease.max(entry_lease)),
-            false if told => self.take_replicas(&note.domain, replicas, lease.max(entry_lease)),
-            false => self.renew_replicas(&note.domain, lease.max(entry_lease)),
+            false if has_lists => {
+                self.apply_replicas(&update.domain, replicas, lease.max(entry_lease))
+            }
+            false => self.renew_replicas(&update.domain, lease.max(entry_lease)),
         }
-        let state = note.state;
+        let state = update.state;
         let mut entries = write(&self.entries);
-        let before = entries.remove(&from);
-        let known = before.as_ref().is_some_and(OtherEntry::alive);
-        let kept = before.map_or((Vec::new(), 0), |e| (e.rollouts, e.applied));
-        let (rollouts, applied) = if told { (rollouts, state) } else { kept };
-        let entry = OtherEntry {
-            note,
+        let previous = entries.remove(&from);
+        let known = previous.as_ref().is_some_and(PeerEntry::is_alive);
+        let retained = previous.map_or((Vec::new(), 0), |e| (e.rollouts, e.applied_state));
+        let (rollouts, applied_state) = if has_lists {
+            (rollouts, state)
+        } else {
+            retained
+        };
+        let entry = PeerEntry {
+            update,
             rollouts,
-            applied,
-            heard: clock::now(),
+            applied_state,
+            last_seen: clock::now(),
             lease: entry_lease,
         };
         entries.insert(from, entry);
@@ -222,53 +228,53 @@
     }
 
     /// Takes the agents that have joined a sibling.
-    fn take_agents(&self, from: SocketAddr, agents: Vec<AgentStatus>, lease: Duration) {
+    fn apply_agents(&self, from: SocketAddr, agents: Vec<AgentStatus>, lease: Duration) {
         let mut all = write(&self.local);
         for known in all.values_mut() {
-            known.told_by.remove(&from);
+            known.reported_by.remove(&from);
         }
-        for digest in agents {
+        for agent in agents {
             let known = all
-                .entry(digest.info.vm.clone())
-                .and_modify(|known| known.renew(&digest.info, lease))
-                .or_insert_with(|| Local::new(digest.info.clone(), lease));
-            if known.upstream.incarnation() == digest.info.incarnation {
-                known.told_by.insert(from);
-                known.told(digest.beat, lease);
+                .entry(agent.info.vm.clone())
+                .and_modify(|known| known.replace_if_newer(&agent.info, lease))
+                .or_insert_with(|| LocalUpstream::new(agent.info.clone(), lease));
+            if known.upstream.incarnation() == agent.info.incarnation {
+                known.reported_by.insert(from);
+                known.apply_report(agent.beat, lease);
             }
         }
-        all.retain(|_, known| known.wanted());
+        all.retain(|_, known| known.is_known());
         drop(all);
         self.domain_changed();
     }
 
     fn renew_agents(&self, from: SocketAddr, lease: Duration) {
         let all = read(&self.local);
-        let told = all.values().filter(|k| k.told_by.contains(&from));
-        told.for_each(|known| known.upstream.renew(lease));
+        let reported = all.values().filter(|k| k.reported_by.contains(&from));
+        reported.for_each(|known| known.upstream.renew_lease(lease));
     }
 
     /// Forgets what entries that are no longer heard have told.
     pub fn expire(&self) {
         let mut entries = write(&self.entries);
-        let gone: Vec<SocketAddr> = entries
+        let expired: Vec<SocketAddr> = entries
             .iter()
-            .filter(|(_, e)| !e.alive())
+            .filter(|(_, e)| !e.is_alive())
             .map(|(addr, _)| *addr)
             .collect();
-        entries.retain(|_, e| e.alive());
+        entries.retain(|_, e| e.is_alive());
         drop(entries);
-        if gone.is_empty() {
+        if expired.is_empty() {
             return;
         }
         let mut all = write(&self.local);
         for known in all.values_mut() {
-            known.told_by.retain(|addr| !gone.contains(addr));
+            known.reported_by.retain(|addr| !expired.contains(addr));
         }
-        all.retain(|_, known| known.wanted());
+        all.retain(|_, known| known.is_known());
     }
 
-    fn take_replicas(&self, domain: &str, replicas: Vec<Replica>, lease: Duration) {
+    fn apply_replicas(&self, domain: &str, replicas: Vec<Replica>, lease: Duration) {
         let mut remote = write(&self.remote);
         for replica in replicas {
             let known = remote
@@ -276,43 +282,45 @@
                 .filter(|u| u.incarnation() == replica.incarnation)
                 .cloned();
             let upstream = known.unwrap_or_else(|| {
-                let fresh = Arc::new(Upstream::new(remote_info(domain, &replica), lease));
-                remote.insert(replica.vm.clone(), fresh.clone());
-                fresh
+                let new = Arc::new(Upstream::new(remote_info(domain, &replica), lease));
+                remote.insert(replica.vm.clone(), new.clone());
+                new
             });
-            upstream.seen_live(&replica.model, &replica.version, lease);
+            upstream.mark_live(&replica.model, &replica.version, lease);
         }
-        remote.retain(|_, u| u.leased());
+        remote.retain(|_, u| u.has_lease());
     }
 
     fn renew_replicas(&self, domain: &str, lease: Duration) {
         let remote = read(&self.remote);
-        let there = remote.values().filter(|u| u.domain() == domain);
-        there.for_each(|u| u.renew(lease));
+        let in_domain = remote.values().filter(|u| u.domain() == domain);
+        in_domain.for_each(|u| u.renew_lease(lease));
     }
 
     /// Other entries that are up.
-    pub fn entries(&self) -> Vec<OtherEntry> {
+    pub fn entries(&self) -> Vec<PeerEntry> {
         let entries = read(&self.entries);
-        entries.values().filter(|e| e.alive()).cloned().collect()
+        entries.values().filter(|e| e.is_alive()).cloned().collect()
     }
 
     /// State of another entry's lists that was last taken; 0 where none was.
-    pub fn applied(&self, from: SocketAddr) -> u64 {
-        read(&self.entries).get(&from).map_or(0, |e| e.applied)
+    pub fn applied_state(&self, from: SocketAddr) -> u64 {
+        read(&self.entries)
+            .get(&from)
+            .map_or(0, |e| e.applied_state)
     }
 
     /// State of the own lists that another entry last took; 0 where it took none.
-    pub fn taken_by(&self, addr: SocketAddr) -> u64 {
+    pub fn acknowledged_state(&self, addr: SocketAddr) -> u64 {
         read(&self.entries)
             .get(&addr)
-            .map_or(0, |e| e.note.applied_state)
+            .map_or(0, |e| e.update.applied_state)
     }
 
     /// Other entries of the own domain that are up.
-    pub fn siblings(&self) -> Vec<OtherEntry> {
+    pub fn siblings(&self) -> Vec<PeerEntry> {
         let mut entries = self.entries();
-        entries.retain(|e| e.note.domain == self.domain);
+        entries.retain(|e| e.update.domain == self.domain);
         entries
     }
 
@@ -322,31 +330,31 @@
     }
 
     /// Agents that have joined here.
-    pub fn digests(&self) -> Vec<AgentStatus> {
+    pub fn joined_agents(&self) -> Vec<AgentStatus> {
         let all = read(&self.local);
-        let joined = all.values().filter(|known| known.seats > 0);
+        let joined = all.values().filter(|known| known.links > 0);
         joined
             .map(|known| AgentStatus {
                 info: known.upstream.info.clone(),
-                beat: known.upstream.last_beat(),
+                beat: known.upstream.last_heartbeat(),
             })
             .collect()
     }
 
     /// A bounded sample of the domain's live replicas.
-    pub fn replicas(&self) -> Vec<Replica> {
-        let mut told: Map<(String, Version), usize> = Map::default();
+    pub fn live_replicas(&self) -> Vec<Replica> {
+        let mut counts: Map<(String, Version), usize> = Map::default();
         let mut replicas = Vec::new();
         for upstream in self.local() {
             let holdings = upstream.holdings();
             for h in holdings
                 .into_iter()
-                .filter(|h| h.live && !upstream.leaving())
+                .filter(|h| h.live && !upstream.is_draining())
             {
-                let n = told
+                let n = counts
                     .entry((h.model.clone(), h.version.clone()))
                     .or_default();
-                if *n == REPLICA_SAMPLE {
+                if *n == MAX_REPLICAS {
                     continue;
                 }
                 *n += 1;
@@ -370,7 +378,7 @@
             let weights = holdings.iter().filter(|h| h.version != Version::Service);
             for holding in weights {
                 let peers = rollouts.entry(holding.version.clone()).or_default();
-                if peers.len() < ROLLOUT_SAMPLE {
+                if peers.len() < MAX_ROLLOUT_PEERS {
                     peers.push(peer(&upstream));
                 }
             }
@@ -384,8 +392,8 @@
     /// Agents anywhere that fetch or hold a version.
     pub fn peers(&self, version: &Version) -> Vec<Peer> {
         let local = self.local();
-        let holds = |u: &&Arc<Upstream>| u.holdings().iter().any(|h| h.version == *version);
-        let mut peers: Vec<Peer> = local.iter().filter(holds).map(peer).collect();
+        let has_version = |u: &&Arc<Upstream>| u.holdings().iter().any(|h| h.version == *version);
+        let mut peers: Vec<Peer> = local.iter().filter(has_version).map(peer).collect();
         for entry in self.entries() {
             let rollouts = entry.rollouts.into_iter();
             peers.extend(
@@ -400,33 +408,33 @@
     }
 }
 
-impl Local {
-    fn new(info: AgentInfo, lease: Duration) -> Local {
-        Local {
+impl LocalUpstream {
+    fn new(info: AgentInfo, lease: Duration) -> LocalUpstream {
+        LocalUpstream {
             upstream: Arc::new(Upstream::new(info, lease)),
-            seats: 0,
-            told_by: Set::default(),
+            links: 0,
+            reported_by: Set::default(),
         }
     }
 
     /// Starts over with a later incarnation of the agent.
-    fn renew(&mut self, info: &AgentInfo, lease: Duration) {
+    fn replace_if_newer(&mut self, info: &AgentInfo, lease: Duration) {
         if info.incarnation > self.upstream.incarnation() {
-            *self = Local::new(info.clone(), lease);
+            *self = LocalUpstream::new(info.clone(), lease);
         }
     }
 
     /// Takes what a sibling tells of an agent; one that joined here is known better.
-    fn told(&self, beat: Heartbeat, lease: Duration) {
-        match self.seats {
-            0 => drop(self.upstream.beat(beat, lease)),
-            _ if beat.leaving => self.upstream.mark_leaving(),
+    fn apply_report(&self, heartbeat: Heartbeat, lease: Duration) {
+        match self.links {
+            0 => drop(self.upstream.apply_heartbeat(heartbeat, lease)),
+            _ if heartbeat.leaving => self.upstream.mark_draining(),
             _ => {}
         }
     }
 
-    fn wanted(&self) -> bool {
-        self.seats > 0 || !self.told_by.is_empty()
+    fn is_known(&self) -> bool {
+        self.links > 0 || !self.reported_by.is_empty()
     }
 }
 
@@ -435,7 +443,7 @@
         vm: upstream.vm().clone(),
         domain: upstream.domain().clone(),
         addr: upstream.info.peer,
-        leaving: upstream.leaving(),
+        leaving: upstream.is_draining(),
     }
 }
 
--- a/crates/entry/src/membership/links.rs
+++ b/crates/entry/src/membership/links.rs
@@ -21,28 +21,28 @@
 use wire::{Claim, ClaimOutcome, Link, WireError};
 
 use crate::Entry;
-use crate::membership::control::own_note;
+use crate::membership::control::own_update;
 
 /// Log prefix of this part.
 const PART: &str = "links";
 
 /// Links kept to each other failure domain.
-const LINKS_ABROAD: usize = 2;
+const LINKS_PER_REMOTE_DOMAIN: usize = 2;
 
 /// Links on which editions are waited for.
-const WATCHED: usize = 6;
+const MAX_WATCHED_LINKS: usize = 6;
 
 /// Shortest time between two exchanges of notes on a link.
-const EXCHANGE_GAP: Duration = Duration::from_millis(100);
+const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two looks at which links are wanted.
-const REVIEW: Duration = Duration::from_millis(500);
+const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// First and longest pause before a broken link is made again.
 const BACKOFF: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(5)];
 
 /// Bytes one exchange of notes costs on the link; docs/CAPACITY.md has the figures.
-const NOTE_COST: u64 = 1500;
+const EXCHANGE_BYTES: u64 = 1500;
 
 /// Addresses of entries this one has heard of.
 #[derive(Debug, Default)]
@@ -54,12 +54,12 @@
 impl AddressBook {
     /// A book with the addresses of the settings.
     pub fn new(own: SocketAddr, seeds: &[SocketAddr]) -> AddressBook {
-        let book = AddressBook {
+        let address_book = AddressBook {
             own: Some(own),
             known: Mutex::default(),
         };
-        book.add(seeds);
-        book
+        address_book.add(seeds);
+        address_book
     }
 
     /// Adds addresses; the own one is left out.
@@ -93,63 +93,67 @@
     pub tx: oneshot::Sender<Vec<ClaimOutcome>>,
 }
 
-type Live = Rc<RefCell<Map<SocketAddr, Rc<Link>>>>;
+type OpenLinks = Rc<RefCell<Map<SocketAddr, Rc<Link>>>>;
 
 /// Keeps the wanted links for as long as the process runs; call within a `LocalSet`.
-pub async fn keep(entry: Arc<Entry>, mut jobs: mpsc::Receiver<ClaimJob>) {
-    let live = Live::default();
+pub async fn maintain_links(entry: Arc<Entry>, mut jobs: mpsc::Receiver<ClaimJob>) {
+    let open_links = OpenLinks::default();
     let mut tasks: Map<SocketAddr, JoinHandle<()>> = Map::default();
-    let mut review = tokio::time::interval(REVIEW);
+    let mut review = tokio::time::interval(REVIEW_INTERVAL);
     loop {
         tokio::select! {
             _ = review.tick() => {
                 entry.fleet.expire();
-                set_links(&entry, &live, &mut tasks);
+                update_links(&entry, &open_links, &mut tasks);
             }
-            Some(job) = jobs.recv() => drop(tokio::task::spawn_local(forward(entry.clone(), live.clone(), job))),
+            Some(job) = jobs.recv() => drop(tokio::task::spawn_local(forward_claims(entry.clone(), open_links.clone(), job))),
         }
     }
 }
 
-fn set_links(entry: &Arc<Entry>, live: &Live, tasks: &mut Map<SocketAddr, JoinHandle<()>>) {
-    let wanted = wanted(entry);
+fn update_links(
+    entry: &Arc<Entry>,
+    open_links: &OpenLinks,
+    tasks: &mut Map<SocketAddr, JoinHandle<()>>,
+) {
+    let wanted = wanted_links(entry);
     tasks.retain(|addr, task| {
         let keep = wanted.contains(addr);
         if !keep {
             task.abort();
-            live.borrow_mut().remove(addr);
+            open_links.borrow_mut().remove(addr);
         }
         keep
     });
     for addr in wanted {
         tasks.entry(addr).or_insert_with(|| {
-            tokio::task::spawn_local(keep_link(entry.clone(), addr, live.clone()))
+            tokio::task::spawn_local(maintain_link(entry.clone(), addr, open_links.clone()))
         });
     }
 }
 
 /// Addresses to link to: unknown ones, to learn who they are; all of the own domain; of each
 /// other domain the few that rank highest.
-fn wanted(entry: &Entry) -> Set<SocketAddr> {
-    let heard: Map<SocketAddr, DomainName> = entry
+fn wanted_links(entry: &Entry) -> Set<SocketAddr> {
+    let known_domains: Map<SocketAddr, DomainName> = entry
         .fleet
         .entries()
         .into_iter()
-        .map(|e| (e.note.control, e.note.domain))
+        .map(|e| (e.update.control, e.update.domain))
         .collect();
     let mut wanted = Set::default();
-    let mut abroad: Map<&DomainName, Vec<SocketAddr>> = Map::default();
-    for addr in entry.book.all() {
-        match heard.get(&addr) {
+    let mut remote: Map<&DomainName, Vec<SocketAddr>> = Map::default();
+    for addr in entry.address_book.all() {
+        match known_domains.get(&addr) {
             Some(domain) if *domain != entry.cfg.upkeep.domain => {
-                abroad.entry(domain).or_default().push(addr);
+                remote.entry(domain).or_default().push(addr);
             }
             _ => drop(wanted.insert(addr)),
         }
     }
-    for mut addrs in abroad.into_values() {
+    for mut addrs in remote.into_values() {
         addrs.sort_by_key(|addr| rank(&entry.cfg.upkeep.vm, addr));
-        wanted.extend(addrs.into_iter().take(LINKS_ABROAD));
+        wanted.extend(addrs.into_iter().take(LINKS_PER_REMOTE_DOMAIN));
     }
     wanted
 }
@@ -158,32 +162,36 @@
     rendezvous::rank(format!("{vm} ").as_bytes(), &addr.to_string())
 }
 
-async fn keep_link(entry: Arc<Entry>, addr: SocketAddr, live: Live) {
-    let [mut pause, longest] = BACKOFF;
+async fn maintain_link(entry: Arc<Entry>, addr: SocketAddr, open_links: OpenLinks) {
+    let [mut pause, max_pause] = BACKOFF;
     loop {
-        let made = clock::now();
-        match use_link(&entry, addr, &live).await {
+        let attempted_at = clock::now();
+        match run_link(&entry, addr, &open_links).await {
             Ok(()) => {}
             Err(e) => debug!(target: PART, "{PART}: link to entry {addr} ended: {e}"),
         }
-        live.borrow_mut().remove(&addr);
-        if clock::since(made) > longest {
+        open_links.borrow_mut().remove(&addr);
+        if clock::since(attempted_at) > max_pause {
             pause = BACKOFF[0];
         }
         let jitter = rand::random::<f64>() + 0.5;
         tokio::time::sleep(pause.mul_f64(jitter)).await;
-        pause = (pause * 2).min(longest);
+        pause = (pause * 2).min(max_pause);
     }
 }
 
 /// Uses a link until it breaks.
-async fn use_link(entry: &Arc<Entry>, addr: SocketAddr, live: &Live) -> Result<(), WireError> {
-    let link = Rc::new(Link::connect(addr, entry.cfg.upkeep.source, &entry.traffic).await?);
+async fn run_link(
+    entry: &Arc<Entry>,
+    addr: SocketAddr,
+    open_links: &OpenLinks,
+) -> Result<(), WireError> {
+    let link = Rc::new(Link::connect(addr, entry.cfg.upkeep.source, &entry.control_traffic).await?);
     let to = exchange(entry, &link, None).await?;
     info!(target: PART, "{PART}: linked to entry {addr} in {to}");
-    live.borrow_mut().insert(addr, link.clone());
-    let watching = link.clone();
-    let watcher = watch(entry, &watching, addr);
+    open_links.borrow_mut().insert(addr, link.clone());
+    let watched_link = link.clone();
+    let watcher = watch(entry, &watched_link, addr);
     tokio::pin!(watcher);
     let mut changes = match to == entry.cfg.upkeep.domain {
         true => entry.fleet.watch_joined(),
@@ -192,14 +200,14 @@
     loop {
         let round = async {
             exchange(entry, &link, Some((&to, addr))).await?;
-            tokio::time::sleep(EXCHANGE_GAP).await;
+            tokio::time::sleep(MIN_EXCHANGE_INTERVAL).await;
             // Woken early or not, the next round tells what changed.
-            let _ = tokio::time::timeout(interval(entry), changes.changed()).await;
+            let _ = tokio::time::timeout(exchange_interval(entry), changes.changed()).await;
             Ok::<_, WireError>(())
         };
         tokio::select! {
-            ended = &mut watcher => return ended,
-            done = round => done?,
+            result = &mut watcher => return result,
+            result = round => result?,
         }
     }
 }
@@ -210,26 +218,28 @@
     link: &Link,
     to: Option<(&DomainName, SocketAddr)>,
 ) -> Result<DomainName, WireError> {
-    let asked = clock::now();
+    let requested_at = clock::now();
     let own = match to {
-        Some((domain, addr)) => own_note(entry, domain, Some(addr)),
-        None => own_note(entry, "", None),
+        Some((domain, addr)) => own_update(entry, domain, Some(addr)),
+        None => own_update(entry, "", None),
     };
-    let note = link.exchange(&own).await?;
-    entry.book.add(&note.entries);
-    let fresh = note.freshness;
-    if let Some(confirmed) = asked
+    let update = link.exchange(&own).await?;
+    entry.address_book.add(&update.entries);
+    let fresh = update.freshness;
+    if let Some(confirmed) = requested_at
         .checked_sub(fresh.age)
         .filter(|_| fresh.age < wire::NEVER_CONFIRMED)
     {
-        entry.force.confirm(fresh.revision, confirmed);
+        entry.active_table.confirm(fresh.revision, confirmed);
     }
-    let domain = note.domain.clone();
-    entry.fleet.heard(note, entry.lease(), interval(entry));
-    let view = entry.force.current();
+    let domain = update.domain.clone();
+    entry
+        .fleet
+        .apply_update(update, entry.lease(), exchange_interval(entry));
+    let view = entry.active_table.current();
     match fresh.revision {
-        theirs if theirs < view.edition.revision => link.offer(&view.edition).await?,
-        theirs if theirs > view.edition.revision => fetch(entry, link).await?,
+        peer_revision if peer_revision < view.edition.revision => link.offer(&view.edition).await?,
+        peer_revision if peer_revision > view.edition.revision => fetch(entry, link).await?,
         _ => {}
     }
     Ok(domain)
@@ -238,67 +248,67 @@
 /// Waits for editions, if the link is among the few on which that is done.
 async fn watch(entry: &Arc<Entry>, link: &Link, addr: SocketAddr) -> Result<(), WireError> {
     loop {
-        match watched(entry, addr) {
+        match is_watched(entry, addr) {
             true => fetch(entry, link).await?,
-            false => tokio::time::sleep(REVIEW).await,
+            false => tokio::time::sleep(REVIEW_INTERVAL).await,
         }
     }
 }
 
-fn watched(entry: &Entry, addr: SocketAddr) -> bool {
+fn is_watched(entry: &Entry, addr: SocketAddr) -> bool {
     let vm = &entry.cfg.upkeep.vm;
     let own = rank(vm, &addr);
     let others = entry.fleet.entries();
-    let before = others.iter().filter(|e| rank(vm, &e.note.control) < own);
-    before.count() < WATCHED
+    let ranked_before = others.iter().filter(|e| rank(vm, &e.update.control) < own);
+    ranked_before.count() < MAX_WATCHED_LINKS
 }
 
 /// Takes the next edition from the other; all of it where what changed doesn't fit.
 async fn fetch(entry: &Arc<Entry>, link: &Link) -> Result<(), WireError> {
-    let patch = link.watch(entry.force.revision()).await?;
-    if !follow(entry, patch) {
-        follow(entry, link.watch(0).await?);
+    let patch = link.watch(entry.active_table.revision()).await?;
+    if !apply_patch(entry, patch) {
+        apply_patch(entry, link.watch(0).await?);
     }
     Ok(())
 }
 
 /// Takes an edition if it is newer, whoever brought it; `false` where its base isn't known here.
-pub fn follow(entry: &Entry, patch: Patch) -> bool {
+pub fn apply_patch(entry: &Entry, patch: Patch) -> bool {
     let (revision, author) = (patch.revision, patch.author.clone());
-    match entry.force.apply_patch(patch) {
+    match entry.active_table.apply_patch(patch) {
         Ok(true) => info!(target: PART, "{PART}: revision {revision} by {author} is in force"),
         Ok(false) => {}
         Err(PatchError::UnknownBase) => return false,
-        Err(PatchError::Faults(faults)) => misfit(revision, &faults),
+        Err(PatchError::Faults(faults)) => log_mismatch(revision, &faults),
     }
     true
 }
 
-fn misfit(revision: Revision, faults: &[Fault]) {
+fn log_mismatch(revision: Revision, faults: &[Fault]) {
     let first = faults.first().map(ToString::to_string).unwrap_or_default();
     warn!(target: PART, "{PART}: revision {revision} doesn't fit this deployment ({first}); give all VMs the same domains");
 }
 
 /// Takes an edition if it is newer, whoever brought it.
-pub fn offer(entry: &Entry, edition: Edition) {
+pub fn apply_edition(entry: &Entry, edition: Edition) {
     let (revision, author) = (edition.revision, edition.author.clone());
-    match entry.force.offer(edition) {
+    match entry.active_table.offer(edition) {
         Ok(true) => info!(target: PART, "{PART}: revision {revision} by {author} is in force"),
         Ok(false) => {}
-        Err(faults) => misfit(revision, &faults),
+        Err(faults) => log_mismatch(revision, &faults),
     }
 }
 
 /// Time between two exchanges of notes: longer the more links there are, so that all of them
 /// together stay within half of the control budget.
-pub fn interval(entry: &Entry) -> Duration {
+pub fn exchange_interval(entry: &Entry) -> Duration {
     let links = entry.fleet.entries().len() as u64;
-    let cost = Duration::from_millis(links * NOTE_COST * 2000 / entry.cfg.control_budget);
+    let cost = Duration::from_millis(links * EXCHANGE_BYTES * 2000 / entry.cfg.control_budget);
     cost.max(entry.cfg.heartbeat)
 }
 
-async fn forward(entry: Arc<Entry>, live: Live, job: ClaimJob) {
-    let link = live.borrow().get(&job.to).cloned();
+async fn forward_claims(entry: Arc<Entry>, open_links: OpenLinks, job: ClaimJob) {
+    let link = open_links.borrow().get(&job.to).cloned();
     let within = entry.cfg.upkeep.platform.timeout;
     let results = match link {
         Some(link) => link.claim(&job.claims, within).await.ok(),
--- a/crates/entry/src/membership/upstream.rs
+++ b/crates/entry/src/membership/upstream.rs
@@ -15,17 +15,17 @@
     /// Who its agent is.
     pub info: AgentInfo,
     running: AtomicU32,
-    condition: Mutex<Condition>,
+    state: Mutex<State>,
 }
 
 /// What changes of it.
 #[derive(Debug)]
-struct Condition {
+struct State {
     holdings: Vec<Holding>,
     live_since: Map<(Model, Version), Instant>,
-    leaving: bool,
+    draining: bool,
     lease_until: Instant,
-    reported: u32,
+    reported_load: u32,
     revision: Revision,
     failures: u64,
     ejected_until: Option<Instant>,
@@ -37,12 +37,12 @@
         Upstream {
             info,
             running: AtomicU32::new(0),
-            condition: Mutex::new(Condition {
+            state: Mutex::new(State {
                 holdings: Vec::new(),
                 live_since: Map::default(),
-                leaving: false,
+                draining: false,
                 lease_until: clock::now() + lease,
-                reported: 0,
+                reported_load: 0,
                 revision: 0,
                 failures: 0,
                 ejected_until: None,
@@ -50,33 +50,31 @@
         }
     }
 
-    fn condition(&self) -> MutexGuard<'_, Condition> {
-        self.condition
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Takes a heartbeat; says whether versions, or whether it is leaving, changed.
-    pub fn beat(&self, beat: Heartbeat, lease: Duration) -> bool {
-        let mut c = self.condition();
+    pub fn apply_heartbeat(&self, heartbeat: Heartbeat, lease: Duration) -> bool {
+        let mut c = self.state();
         let now = clock::now();
         c.lease_until = now + lease;
-        c.reported = beat.running;
-        c.revision = beat.revision;
-        let was_leaving = c.leaving;
-        c.leaving |= beat.leaving;
-        let leaves = c.leaving != was_leaving;
-        if beat.same_holdings {
-            return leaves;
+        c.reported_load = heartbeat.running;
+        c.revision = heartbeat.revision;
+        let was_draining = c.draining;
+        c.draining |= heartbeat.leaving;
+        let drain_changed = c.draining != was_draining;
+        if heartbeat.same_holdings {
+            return drain_changed;
         }
-        let told = |holdings: &[Holding]| -> Vec<(Model, Version, bool)> {
+        let versions = |holdings: &[Holding]| -> Vec<(Model, Version, bool)> {
             let holdings = holdings.iter();
             holdings
                 .map(|h| (h.model.clone(), h.version.clone(), h.live))
                 .collect()
         };
-        let changed = told(&c.holdings) != told(&beat.holdings);
-        c.holdings = beat.holdings;
+        let changed = versions(&c.holdings) != versions(&heartbeat.holdings);
+        c.holdings = heartbeat.holdings;
         let live: Vec<(Model, Version)> = c
             .holdings
             .iter()
@@ -87,16 +85,16 @@
         for key in live {
             c.live_since.entry(key).or_insert(now);
         }
-        changed || leaves
+        changed || drain_changed
     }
 
     /// The last heartbeat, as a sibling is told of it.
-    pub fn last_beat(&self) -> Heartbeat {
-        let c = self.condition();
+    pub fn last_heartbeat(&self) -> Heartbeat {
+        let c = self.state();
         Heartbeat {
             revision: c.revision,
-            running: c.reported,
-            leaving: c.leaving,
+            running: c.reported_load,
+            leaving: c.draining,
             holdings: c.holdings.clone(),
             entries_seen: 0,
             same_holdings: false,
@@ -104,14 +102,14 @@
     }
 
     /// Notes that others still hear of it.
-    pub fn renew(&self, lease: Duration) {
-        let mut c = self.condition();
+    pub fn renew_lease(&self, lease: Duration) {
+        let mut c = self.state();
         c.lease_until = c.lease_until.max(clock::now() + lease);
     }
 
     /// Notes that another domain's entries tell of a version live there.
-    pub fn seen_live(&self, model: &str, version: &Version, lease: Duration) {
-        let mut c = self.condition();
+    pub fn mark_live(&self, model: &str, version: &Version, lease: Duration) {
+        let mut c = self.state();
         let now = clock::now();
         c.lease_until = now + lease;
         let key = (model.to_owned(), version.clone());
@@ -119,30 +117,30 @@
     }
 
     /// Whether its lease has not run out.
-    pub fn leased(&self) -> bool {
-        self.condition().lease_until >= clock::now()
+    pub fn has_lease(&self) -> bool {
+        self.state().lease_until >= clock::now()
     }
 
     /// Notes that it takes no new work.
-    pub fn mark_leaving(&self) {
-        self.condition().leaving = true;
+    pub fn mark_draining(&self) {
+        self.state().draining = true;
     }
 
     /// Notes that a version is not live there after all.
     pub fn mark_not_live(&self, model: &str, version: &Version) {
         let key = (model.to_owned(), version.clone());
-        self.condition().live_since.remove(&key);
+        self.state().live_since.remove(&key);
     }
 
     /// Whether it is about to go.
-    pub fn leaving(&self) -> bool {
-        self.condition().leaving
+    pub fn is_draining(&self) -> bool {
+        self.state().draining
     }
 
     /// Since when a version has been live there, where requests may be sent for it now.
     pub fn live_since(&self, model: &str, version: &Version) -> Option<Instant> {
-        let c = self.condition();
-        if c.leaving || c.lease_until < clock::now() {
+        let c = self.state();
+        if c.draining || c.lease_until < clock::now() {
             return None;
         }
         let key = (model.to_owned(), version.clone());
@@ -150,28 +148,28 @@
     }
 
     /// Whether it is left alone after failures.
-    pub fn ejected(&self) -> bool {
-        self.condition()
+    pub fn is_ejected(&self) -> bool {
+        self.state()
             .ejected_until
             .is_some_and(|until| until > clock::now())
     }
 
     /// Notes a failure; leaves it alone for a while after several in a row.
-    pub fn failed(&self, eject_after: u64, eject_time: Duration) {
-        let mut c = self.condition();
+    pub fn record_failure(&self, max_failures: u64, eject_time: Duration) {
+        let mut c = self.state();
         c.failures += 1;
-        if c.failures >= eject_after {
+        if c.failures >= max_failures {
             c.ejected_until = Some(clock::now() + eject_time);
         }
     }
 
     /// Notes an answer, and the load the agent carried back on it.
-    pub fn answered(&self, load: Option<u32>) {
-        let mut c = self.condition();
+    pub fn record_response(&self, load: Option<u32>) {
+        let mut c = self.state();
         c.failures = 0;
         c.ejected_until = None;
         if let Some(load) = load {
-            c.reported = load;
+            c.reported_load = load;
         }
     }
 
@@ -182,22 +180,22 @@
 
     /// Load to compare upstreams by: the larger of our own count and the last report.
     pub fn load(&self) -> u32 {
-        self.running().max(self.condition().reported)
+        self.running().max(self.state().reported_load)
     }
 
     /// Load as it was last reported.
-    pub fn reported(&self) -> u32 {
-        self.condition().reported
+    pub fn reported_load(&self) -> u32 {
+        self.state().reported_load
     }
 
     /// Versions it fetches, holds or has live.
     pub fn holdings(&self) -> Vec<Holding> {
-        self.condition().holdings.clone()
+        self.state().holdings.clone()
     }
 
     /// Revision of the table its agent serves by, as of its last heartbeat.
     pub fn revision(&self) -> Revision {
-        self.condition().revision
+        self.state().revision
     }
 
     /// Its id.
@@ -230,7 +228,7 @@
 
 impl Slot {
     /// Takes a slot if fewer than `limit` are taken.
-    pub fn take(upstream: &Arc<Upstream>, limit: u32) -> Option<Slot> {
+    pub fn acquire(upstream: &Arc<Upstream>, limit: u32) -> Option<Slot> {
         upstream
             .running
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| {
--- a/crates/entry/src/poll.rs
+++ b/crates/entry/src/poll.rs
@@ -8,7 +8,7 @@
 use store::{Member, MemberRole, MemberState, Members, Tables, Tag};
 
 use crate::Entry;
-use crate::membership::links::offer;
+use crate::membership::links::apply_edition;
 
 /// Log prefix of this part.
 const PART: &str = "poll";
@@ -16,32 +16,32 @@
 /// Follows the edition in force for as long as the process runs.
 pub async fn table(entry: Arc<Entry>, tables: Tables) {
     let mut known: Option<(Tag, Revision)> = None;
-    let mut down = false;
+    let mut unreachable = false;
     loop {
-        let asked = clock::now();
+        let requested_at = clock::now();
         let tag = known.as_ref().map(|(tag, _)| tag);
         match tables.current(tag).await {
             Ok(Some(current)) => {
                 let revision = current.edition.revision;
                 known = current.tag.map(|tag| (tag, revision));
-                offer(&entry, current.edition);
-                entry.force.confirm(revision, asked);
-                note_up(&mut down);
+                apply_edition(&entry, current.edition);
+                entry.active_table.confirm(revision, requested_at);
+                log_recovery(&mut unreachable);
             }
             Ok(None) => {
                 let revision = known.as_ref().map_or(0, |(_, revision)| *revision);
-                entry.force.confirm(revision, asked);
-                note_up(&mut down);
+                entry.active_table.confirm(revision, requested_at);
+                log_recovery(&mut unreachable);
             }
-            Err(e) if !down => {
+            Err(e) if !unreachable => {
                 warn!(target: PART, "{PART}: the table can't be read: {e}");
-                down = true;
+                unreachable = true;
             }
             Err(_) => {}
         }
-        metrics::gauge!("driftnotch_table_revision").set(entry.force.revision() as f64);
+        metrics::gauge!("driftnotch_table_revision").set(entry.active_table.revision() as f64);
         let age = entry
-            .force
+            .active_table
             .confirmation_age()
             .map_or(f64::INFINITY, |age| age.as_secs_f64());
         metrics::gauge!("driftnotch_table_age_seconds").set(age);
@@ -49,8 +49,8 @@
     }
 }
 
-fn note_up(down: &mut bool) {
-    if std::mem::take(down) {
+fn log_recovery(unreachable: &mut bool) {
+    if std::mem::take(unreachable) {
         info!(target: PART, "{PART}: the table can be read again");
     }
 }
@@ -62,28 +62,28 @@
         match members.list(tag.as_ref()).await {
             Ok(Some((list, new_tag))) => {
                 tag = Some(new_tag);
-                take_list(&entry, &list);
+                apply_member_list(&entry, &list);
             }
             Ok(None) => {}
             Err(e) => warn!(target: PART, "{PART}: the list of VMs can't be read: {e}"),
         }
-        entry.limiter.tidy();
+        entry.limiter.remove_idle();
         tokio::time::sleep(jittered(entry.cfg.members_poll)).await;
     }
 }
 
-fn take_list(entry: &Entry, list: &[Member]) {
+fn apply_member_list(entry: &Entry, list: &[Member]) {
     let entries = list.iter().filter(|m| m.role == MemberRole::Entry);
-    entry.book.add(entries.map(|m| &m.addr));
-    let leaving: Set<String> = list
+    entry.address_book.add(entries.map(|m| &m.addr));
+    let draining: Set<String> = list
         .iter()
         .filter(|m| m.state == MemberState::Leaving)
         .map(|m| m.vm.clone())
         .collect();
-    entry.fleet.set_listed_leaving(leaving);
+    entry.fleet.set_listed_draining(draining);
 }
 
 /// A pause of a tenth more or less, so that entries don't ask all at once.
-fn jittered(pause: Duration) -> Duration {
-    pause.mul_f64(0.9 + 0.2 * rand::random::<f64>())
+fn jittered(interval: Duration) -> Duration {
+    interval.mul_f64(0.9 + 0.2 * rand::random::<f64>())
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -58,7 +58,7 @@
 }
 
 /// Time to come back after where nothing better is known.
-pub const SOON: Duration = Duration::from_secs(1);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
 struct ErrorBody<'a> {
@@ -149,7 +149,9 @@
             | Refusal::NoRetries(after)
             | Refusal::NoClaim(after)
             | Refusal::KeyRunning(after) => Some(*after),
-            Refusal::NoTable | Refusal::Stopping | Refusal::HoldLapsed(_) => Some(SOON),
+            Refusal::NoTable | Refusal::Stopping | Refusal::HoldLapsed(_) => {
+                Some(DEFAULT_RETRY_AFTER)
+            }
             _ => None,
         }
     }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/request.rs
@@ -12,19 +12,19 @@
 use crate::refusal::Refusal;
 
 /// Workspace of callers that name none.
-const NO_WORKSPACE: &str = "none";
+const DEFAULT_WORKSPACE: &str = "none";
 
 /// Longest idempotency key, in bytes.
-const MAX_KEY: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// Path under which plain services are called.
-const SERVICES: &str = "/services/";
+const SERVICES_PREFIX: &str = "/services/";
 
 /// Paths of completions.
-const COMPLETIONS: [&str; 2] = ["/v1/completions", "/v1/chat/completions"];
+const COMPLETION_PATHS: [&str; 2] = ["/v1/completions", "/v1/chat/completions"];
 
 /// Headers passed on to a back end.
-const PASSED: [&str; 6] = [
+const FORWARDED_HEADERS: [&str; 6] = [
     "content-type",
     "accept",
     "if-none-match",
@@ -35,24 +35,24 @@
 
 /// What may be done with a request after it was sent once.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Safety {
+pub enum RetrySafety {
     /// It may be sent again.
-    Repeatable,
+    Retryable,
     /// It is sent once; a resend by the caller is another request.
-    Once,
+    SendOnce,
     /// It runs at most once for its idempotency key.
     Keyed(String),
 }
 
 /// A caller's request.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct CallerRequest {
     /// Id.
     pub id: RequestId,
     /// Model or plain service.
     pub model: Model,
     /// Whether a plain service is meant.
-    pub service: bool,
+    pub is_service: bool,
     /// Workspace.
     pub workspace: Workspace,
     /// Method.
@@ -64,17 +64,17 @@
     /// Body.
     pub body: Bytes,
     /// Whether the caller asked for a stream of events.
-    pub stream: bool,
+    pub wants_stream: bool,
     /// What may be done after it was sent.
-    pub safety: Safety,
+    pub retry_safety: RetrySafety,
     /// Priority the caller lowered it to.
     pub priority: Option<u8>,
     /// When it arrived.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// When its caller gives up.
     pub deadline: Instant,
     /// Hash of the start of the prompt; 0 where there is none.
-    pub prefix: u64,
+    pub prefix_hash: u64,
 }
 
 /// The fields of a completion's body that matter here.
@@ -89,15 +89,15 @@
     messages: Option<serde_json::Value>,
 }
 
-impl Call {
+impl CallerRequest {
     /// Reads a request and its body, within the bounds of the settings.
-    pub async fn read(req: Request, cfg: &EntryCfg) -> Result<Call, Refusal> {
-        let arrived = clock::now();
+    pub async fn read(req: Request, cfg: &EntryCfg) -> Result<CallerRequest, Refusal> {
+        let arrived_at = clock::now();
         let (head, body) = req.into_parts();
         let path = head.uri.path().to_owned();
-        let completion = COMPLETIONS.contains(&path.as_str());
-        let service = path.strip_prefix(SERVICES).map(str::to_owned);
-        if !completion && service.is_none() {
+        let is_completion = COMPLETION_PATHS.contains(&path.as_str());
+        let service = path.strip_prefix(SERVICES_PREFIX).map(str::to_owned);
+        if !is_completion && service.is_none() {
             return Err(Refusal::NoPath);
         }
         let within = cfg.upkeep.body_timeout;
@@ -108,27 +108,27 @@
                 BodyError::TimedOut(within) => Refusal::SlowBody(within),
                 e => Refusal::Malformed(e.to_string()),
             })?;
-        let mut call = Call {
+        let mut request = CallerRequest {
             id: new_request_id(),
             model: String::new(),
-            service: !completion,
-            workspace: read_workspace(&head.headers)?,
-            safety: read_safety(&head.headers, &head.method, !completion)?,
-            priority: read_priority(&head.headers)?,
-            headers: passed(&head.headers),
+            is_service: !is_completion,
+            workspace: parse_workspace(&head.headers)?,
+            retry_safety: parse_retry_safety(&head.headers, &head.method, !is_completion)?,
+            priority: parse_priority(&head.headers)?,
+            headers: forwarded_headers(&head.headers),
             method: head.method,
             path,
             body,
-            stream: false,
-            arrived,
-            deadline: arrived + read_deadline(&head.headers, cfg)?,
-            prefix: 0,
+            wants_stream: false,
+            arrived_at,
+            deadline: arrived_at + parse_deadline(&head.headers, cfg)?,
+            prefix_hash: 0,
         };
         match service {
-            Some(rest) => call.read_service(&rest, head.uri.query())?,
-            None => call.read_completion(cfg.prefix_bytes as usize)?,
+            Some(rest) => request.apply_service(&rest, head.uri.query())?,
+            None => request.apply_completion(cfg.prefix_bytes as usize)?,
         }
-        Ok(call)
+        Ok(request)
     }
 
     /// Time left.
@@ -138,11 +138,11 @@
 
     /// Whether it must run at most once.
     pub fn is_unsafe(&self) -> bool {
-        self.safety != Safety::Repeatable
+        self.retry_safety != RetrySafety::Retryable
     }
 
     /// Digest of what an idempotency key stands for.
-    pub fn content(&self) -> Digest {
+    pub fn content_digest(&self) -> Digest {
         let mut buf = Vec::with_capacity(self.body.len() + 256);
         for part in [self.method.as_str(), &self.path, &self.model] {
             buf.extend_from_slice(part.as_bytes());
@@ -152,7 +152,7 @@
         Digest::of(&buf)
     }
 
-    fn read_service(&mut self, rest: &str, query: Option<&str>) -> Result<(), Refusal> {
+    fn apply_service(&mut self, rest: &str, query: Option<&str>) -> Result<(), Refusal> {
         let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
         if name.is_empty() {
             return Err(Refusal::NoPath);
@@ -165,7 +165,7 @@
         Ok(())
     }
 
-    fn read_completion(&mut self, prefix_bytes: usize) -> Result<(), Refusal> {
+    fn apply_completion(&mut self, prefix_bytes: usize) -> Result<(), Refusal> {
         if self.method != Method::POST {
             return Err(Refusal::Malformed(
                 "a completion is asked for by POST".into(),
@@ -174,14 +174,14 @@
         let completion: Completion = serde_json::from_slice(&self.body)
             .map_err(|e| Refusal::Malformed(format!("the body is no completion request ({e})")))?;
         let prompt = completion.prompt.or(completion.messages);
-        self.prefix = prefix_hash(prompt, prefix_bytes);
+        self.prefix_hash = hash_prefix(prompt, prefix_bytes);
         self.model = completion.model;
-        self.stream = completion.stream;
+        self.wants_stream = completion.stream;
         Ok(())
     }
 }
 
-fn prefix_hash(prompt: Option<serde_json::Value>, bytes: usize) -> u64 {
+fn hash_prefix(prompt: Option<serde_json::Value>, bytes: usize) -> u64 {
     let text = match prompt {
         Some(serde_json::Value::String(s)) => s,
         Some(value) => value.to_string(),
@@ -198,8 +198,8 @@
     u64::from_le_bytes(first)
 }
 
-fn passed(headers: &HeaderMap) -> HeaderMap {
-    PASSED
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    FORWARDED_HEADERS
         .iter()
         .filter_map(|name| {
             let name = hyper::header::HeaderName::from_static(name);
@@ -208,13 +208,13 @@
         .collect()
 }
 
-fn read_workspace(headers: &HeaderMap) -> Result<Workspace, Refusal> {
+fn parse_workspace(headers: &HeaderMap) -> Result<Workspace, Refusal> {
     let name = match headers.get(header::WORKSPACE) {
-        None => return Ok(NO_WORKSPACE.to_owned()),
+        None => return Ok(DEFAULT_WORKSPACE.to_owned()),
         Some(value) => value.to_str().unwrap_or_default(),
     };
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    match !name.is_empty() && name.len() <= 64 && name.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    match !name.is_empty() && name.len() <= 64 && name.chars().all(is_allowed) {
         true => Ok(name.to_owned()),
         false => Err(malformed(
             header::WORKSPACE,
@@ -223,11 +223,15 @@
     }
 }
 
-fn read_safety(headers: &HeaderMap, method: &Method, service: bool) -> Result<Safety, Refusal> {
+fn parse_retry_safety(
+    headers: &HeaderMap,
+    method: &Method,
+    is_service: bool,
+) -> Result<RetrySafety, Refusal> {
     let key = match headers.get(header::IDEMPOTENCY_KEY) {
         None => None,
         Some(value) => match value.to_str() {
-            Ok(key) if !key.is_empty() && key.len() <= MAX_KEY => Some(key.to_owned()),
+            Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Some(key.to_owned()),
             _ => {
                 return Err(malformed(
                     header::IDEMPOTENCY_KEY,
@@ -236,20 +240,20 @@
             }
         },
     };
-    let marked = match headers.get(header::UNSAFE).map(|v| v.as_bytes()) {
+    let marked_unsafe = match headers.get(header::UNSAFE).map(|v| v.as_bytes()) {
         None | Some(b"false") => false,
         Some(b"true") => true,
         Some(_) => return Err(malformed(header::UNSAFE, "true or false")),
     };
-    let by_method = service && !method.is_idempotent();
+    let unsafe_method = is_service && !method.is_idempotent();
     Ok(match key {
-        Some(key) => Safety::Keyed(key),
-        None if marked || by_method => Safety::Once,
-        None => Safety::Repeatable,
+        Some(key) => RetrySafety::Keyed(key),
+        None if marked_unsafe || unsafe_method => RetrySafety::SendOnce,
+        None => RetrySafety::Retryable,
     })
 }
 
-fn read_priority(headers: &HeaderMap) -> Result<Option<u8>, Refusal> {
+fn parse_priority(headers: &HeaderMap) -> Result<Option<u8>, Refusal> {
     match web::header(headers, header::PRIORITY).map(str::parse::<u8>) {
         None => Ok(None),
         Some(Ok(n)) if n <= 9 => Ok(Some(n)),
@@ -257,7 +261,7 @@
     }
 }
 
-fn read_deadline(headers: &HeaderMap, cfg: &EntryCfg) -> Result<Duration, Refusal> {
+fn parse_deadline(headers: &HeaderMap, cfg: &EntryCfg) -> Result<Duration, Refusal> {
     match web::header(headers, header::DEADLINE).map(str::parse::<u64>) {
         None => Ok(cfg.default_deadline),
         Some(Ok(ms)) if ms > 0 => Ok(Duration::from_millis(ms).min(cfg.max_deadline)),
--- a/crates/entry/src/answer.rs
+++ b/crates/entry/src/response.rs
@@ -16,16 +16,16 @@
 use hyper::{HeaderMap, StatusCode};
 use web::{Body, BodyError, Response};
 
-use crate::call::Call;
-use crate::limit::Counted;
-use crate::route::running::Running;
+use crate::limit::LimitPermit;
+use crate::request::CallerRequest;
+use crate::route::running::RunningRequest;
 use crate::telemetry::{Labels, Telemetry};
 
 /// Last event of a whole stream.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 
 /// Headers of an answer that the caller gets.
-const RETURNED: [&str; 8] = [
+const RESPONSE_HEADERS: [&str; 8] = [
     "content-type",
     "content-range",
     "etag",
@@ -38,98 +38,98 @@
 
 /// An answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers of the agent's answer.
     pub headers: HeaderMap,
     /// Body.
-    pub body: AnswerBody,
+    pub body: UpstreamBody,
     /// Whether it is the recorded answer of an earlier run.
     pub replayed: bool,
 }
 
 /// Body of an answer.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum UpstreamBody {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// To be passed through as it comes.
-    Passing {
+    Streaming {
         /// What comes.
         body: Incoming,
         /// Whether it is a stream of events.
-        events: bool,
+        is_event_stream: bool,
         /// Counts the request as running until the last byte.
-        running: Running,
+        running: RunningRequest,
     },
 }
 
 /// What a stream keeps until its end.
-struct Passing {
+struct Relay {
     body: Incoming,
-    events: bool,
+    is_event_stream: bool,
     buf: BytesMut,
-    done_seen: bool,
-    first_seen: Option<Instant>,
-    last_seen: Instant,
-    events_seen: u32,
-    ended: bool,
-    request: String,
+    is_done: bool,
+    first_data_at: Option<Instant>,
+    last_data_at: Instant,
+    event_count: u32,
+    is_finished: bool,
+    request_id: String,
     deadline: Instant,
-    arrived: Instant,
+    arrived_at: Instant,
     labels: Labels,
     telemetry: Arc<Telemetry>,
-    _running: Running,
-    _counted: Counted,
+    _running: RunningRequest,
+    _permit: LimitPermit,
 }
 
-impl Answer {
+impl UpstreamResponse {
     /// The response to the caller.
-    pub fn response(
+    pub fn into_response(
         self,
-        call: &Call,
+        request: &CallerRequest,
         labels: Labels,
-        counted: Counted,
+        permit: LimitPermit,
         telemetry: &Arc<Telemetry>,
     ) -> Response {
         let mut trailer = false;
         let (body, outcome) = match self.body {
-            AnswerBody::Whole(buf) => {
-                telemetry.first_token(&labels, clock::since(call.arrived));
-                telemetry.ended(&labels, Outcome::Done, "ok", false);
+            UpstreamBody::Complete(buf) => {
+                telemetry.record_first_token(&labels, clock::since(request.arrived_at));
+                telemetry.record_completed(&labels, Outcome::Done, "ok", false);
                 (web::full(buf), Outcome::Done)
             }
-            AnswerBody::Passing {
+            UpstreamBody::Streaming {
                 body,
-                events,
+                is_event_stream,
                 running,
             } => {
-                trailer = !events;
-                let passing = Passing {
+                trailer = !is_event_stream;
+                let relay = Relay {
                     body,
-                    events,
+                    is_event_stream,
                     buf: BytesMut::new(),
-                    done_seen: false,
-                    first_seen: None,
-                    last_seen: call.arrived,
-                    events_seen: 0,
-                    ended: false,
-                    request: call.id.clone(),
-                    deadline: call.deadline,
-                    arrived: call.arrived,
+                    is_done: false,
+                    first_data_at: None,
+                    last_data_at: request.arrived_at,
+                    event_count: 0,
+                    is_finished: false,
+                    request_id: request.id.clone(),
+                    deadline: request.deadline,
+                    arrived_at: request.arrived_at,
                     labels,
                     telemetry: telemetry.clone(),
                     _running: running,
-                    _counted: counted,
+                    _permit: permit,
                 };
-                (passing.into_body(), Outcome::Unknown)
+                (relay.into_body(), Outcome::Unknown)
             }
         };
         let mut res = hyper::Response::new(body);
         *res.status_mut() = self.status;
         let headers = res.headers_mut();
-        for name in RETURNED {
+        for name in RESPONSE_HEADERS {
             if let Some(value) = self.headers.get(name) {
                 headers.insert(name, value.clone());
             }
@@ -138,7 +138,7 @@
             headers.insert(header::RAN_IN, value.clone());
         }
         web::set_header(headers, header::OUTCOME, outcome.as_str());
-        web::set_header(headers, header::REQUEST, &call.id);
+        web::set_header(headers, header::REQUEST, &request.id);
         if trailer {
             web::set_header(headers, "trailer", header::OUTCOME);
         }
@@ -149,12 +149,12 @@
     }
 }
 
-impl Passing {
+impl Relay {
     fn into_body(self) -> Body {
-        let frames = stream::unfold(Some(self), |passing| async move {
-            let mut passing = passing?;
-            match passing.next().await {
-                Some(Ok(frame)) => Some((Ok(frame), Some(passing))),
+        let frames = stream::unfold(Some(self), |relay| async move {
+            let mut relay = relay?;
+            match relay.next().await {
+                Some(Ok(frame)) => Some((Ok(frame), Some(relay))),
                 Some(Err(e)) => Some((Err(e), None)),
                 None => None,
             }
@@ -164,38 +164,38 @@
 
     async fn next(&mut self) -> Option<Result<Frame<Bytes>, BodyError>> {
         loop {
-            if self.ended {
+            if self.is_finished {
                 return None;
             }
             let frame = clock::timeout_at(self.deadline, self.body.frame()).await;
             let data = match frame {
                 Ok(Some(Ok(frame))) => frame.into_data().ok(),
-                Ok(Some(Err(_))) => return self.cut("the upstream broke off"),
-                Ok(None) => return Some(Ok(self.end())),
-                Err(_) => return self.cut("the deadline passed"),
+                Ok(Some(Err(_))) => return self.abort("the upstream broke off"),
+                Ok(None) => return Some(Ok(self.final_frame())),
+                Err(_) => return self.abort("the deadline passed"),
             };
-            let passed = match data {
-                Some(data) if self.events => self.whole_events(data),
+            let output = match data {
+                Some(data) if self.is_event_stream => self.take_complete_events(data),
                 Some(data) => data,
                 None => Bytes::new(),
             };
-            if !passed.is_empty() {
-                self.note_tokens();
-                return Some(Ok(Frame::data(passed)));
+            if !output.is_empty() {
+                self.record_data();
+                return Some(Ok(Frame::data(output)));
             }
         }
     }
 
     /// Takes bytes in and gives out what makes whole events, keeping back the last one.
-    fn whole_events(&mut self, data: Bytes) -> Bytes {
+    fn take_complete_events(&mut self, data: Bytes) -> Bytes {
         self.buf.extend_from_slice(&data);
         let mut out = BytesMut::new();
         while let Some(at) = event_end(&self.buf) {
             let event = self.buf.split_to(at);
             match event.starts_with(DONE_EVENT) {
-                true => self.done_seen = true,
+                true => self.is_done = true,
                 false => {
-                    self.events_seen += 1;
+                    self.event_count += 1;
                     out.extend_from_slice(&event);
                 }
             }
@@ -203,27 +203,27 @@
         out.freeze()
     }
 
-    fn note_tokens(&mut self) {
+    fn record_data(&mut self) {
         let now = clock::now();
-        self.last_seen = now;
-        if self.first_seen.is_none() {
-            self.first_seen = Some(now);
+        self.last_data_at = now;
+        if self.first_data_at.is_none() {
+            self.first_data_at = Some(now);
             self.telemetry
-                .first_token(&self.labels, now.duration_since(self.arrived));
+                .record_first_token(&self.labels, now.duration_since(self.arrived_at));
         }
     }
 
     /// Mean time between events, where there were at least two.
-    fn gaps(&self) -> Option<Duration> {
-        let span = self.last_seen.duration_since(self.first_seen?);
-        (self.events && self.events_seen > 1).then(|| span / (self.events_seen - 1))
+    fn mean_gap(&self) -> Option<Duration> {
+        let span = self.last_data_at.duration_since(self.first_data_at?);
+        (self.is_event_stream && self.event_count > 1).then(|| span / (self.event_count - 1))
     }
 
     /// The last frame, by whether the whole answer came.
-    fn end(&mut self) -> Frame<Bytes> {
-        match (self.events, self.done_seen) {
-            (true, true) => self.last_event(Outcome::Done, "ok"),
-            (true, false) => self.last_event(Outcome::Unknown, "the upstream ended early"),
+    fn final_frame(&mut self) -> Frame<Bytes> {
+        match (self.is_event_stream, self.is_done) {
+            (true, true) => self.outcome_event(Outcome::Done, "ok"),
+            (true, false) => self.outcome_event(Outcome::Unknown, "the upstream ended early"),
             (false, _) => {
                 self.finish(Outcome::Done, "ok");
                 let mut trailers = HeaderMap::new();
@@ -234,19 +234,19 @@
     }
 
     /// Ends an answer that was cut off; nothing that looks whole is sent.
-    fn cut(&mut self, why: &'static str) -> Option<Result<Frame<Bytes>, BodyError>> {
-        if self.events {
-            return Some(Ok(self.last_event(Outcome::Unknown, why)));
+    fn abort(&mut self, cause: &'static str) -> Option<Result<Frame<Bytes>, BodyError>> {
+        if self.is_event_stream {
+            return Some(Ok(self.outcome_event(Outcome::Unknown, cause)));
         }
-        self.finish(Outcome::Unknown, why);
-        Some(Err(BodyError::Interrupted(why)))
+        self.finish(Outcome::Unknown, cause);
+        Some(Err(BodyError::Interrupted(cause)))
     }
 
-    fn last_event(&mut self, outcome: Outcome, why: &str) -> Frame<Bytes> {
-        self.finish(outcome, why);
-        let request = &self.request;
+    fn outcome_event(&mut self, outcome: Outcome, cause: &str) -> Frame<Bytes> {
+        self.finish(outcome, cause);
+        let request_id = &self.request_id;
         let mut text = format!(
-            "event: outcome\ndata: {{\"outcome\":\"{outcome}\",\"request\":\"{request}\",\"cause\":\"{why}\"}}\n\n"
+            "event: outcome\ndata: {{\"outcome\":\"{outcome}\",\"request\":\"{request_id}\",\"cause\":\"{cause}\"}}\n\n"
         );
         if outcome == Outcome::Done {
             text.push_str("data: [DONE]\n\n");
@@ -255,11 +255,12 @@
     }
 
     fn finish(&mut self, outcome: Outcome, code: &str) {
-        self.ended = true;
-        if let Some(mean) = self.gaps() {
-            self.telemetry.between_tokens(&self.labels, mean);
+        self.is_finished = true;
+        if let Some(mean) = self.mean_gap() {
+            self.telemetry.record_token_gap(&self.labels, mean);
         }
-        self.telemetry.ended(&self.labels, outcome, code, false);
+        self.telemetry
+            .record_completed(&self.labels, outcome, code, false);
     }
 }
 
--- a/crates/entry/src/retry.rs
+++ b/crates/entry/src/retry_budget.rs
@@ -3,45 +3,49 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Price of a retry and bounds, in hundredths.
-const PRICE: u64 = 100;
+const RETRY_COST: u64 = 100;
 
 /// Retries that may come at once.
-const MOST: u64 = 20;
+const MAX_BALANCE: u64 = 20;
 
 /// Retries kept for a quiet entry.
-const LEAST: u64 = 3;
+const INITIAL_BALANCE: u64 = 3;
 
 /// The budget.
 #[derive(Debug)]
 pub struct RetryBudget {
     percent: u64,
-    saved: AtomicU64,
+    balance: AtomicU64,
 }
 
 impl RetryBudget {
     /// A budget of `percent` retries for every 100 requests.
     pub fn new(percent: u64) -> RetryBudget {
-        let saved = if percent == 0 { 0 } else { LEAST * PRICE };
+        let balance = if percent == 0 {
+            0
+        } else {
+            INITIAL_BALANCE * RETRY_COST
+        };
         RetryBudget {
             percent,
-            saved: AtomicU64::new(saved),
+            balance: AtomicU64::new(balance),
         }
     }
 
     /// Notes a request.
-    pub fn earn(&self) {
+    pub fn deposit(&self) {
         let _ = self
-            .saved
+            .balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| {
-                Some((n + self.percent).min(MOST * PRICE))
+                Some((n + self.percent).min(MAX_BALANCE * RETRY_COST))
             });
     }
 
     /// Pays for a retry; `false` where the budget is used up.
-    pub fn spend(&self) -> bool {
-        self.saved
+    pub fn withdraw(&self) -> bool {
+        self.balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| {
-                n.checked_sub(PRICE)
+                n.checked_sub(RETRY_COST)
             })
             .is_ok()
     }
--- a/crates/entry/src/route/attempt.rs
+++ b/crates/entry/src/route/attempt.rs
@@ -10,135 +10,150 @@
 use web::{BodyError, SendError, read_body};
 
 use crate::Entry;
-use crate::answer::{Answer, AnswerBody};
-use crate::call::Call;
 use crate::claim::ClaimRecord;
 use crate::membership::upstream::Upstream;
-use crate::refusal::SOON;
-use crate::route::running::Running;
+use crate::refusal::DEFAULT_RETRY_AFTER;
+use crate::request::CallerRequest;
+use crate::response::{UpstreamBody, UpstreamResponse};
+use crate::route::running::RunningRequest;
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub enum Attempt {
+pub enum AttemptOutcome {
     /// With an answer.
-    Answered(Box<Answer>),
+    Answered(Box<UpstreamResponse>),
     /// With a definite refusal: it has not run there and will not.
     Refused(String),
     /// Before a byte was sent.
     NotSent(String),
     /// It may have run.
-    Lost(String),
+    ResponseLost(String),
     /// It may have run, and its caller's time is up.
-    Late,
+    TimedOut,
 }
 
 /// Largest answer to a request to settle, in bytes, beyond the largest answer that is held whole.
-const SETTLE_EXTRA: usize = 64 << 10;
+const SETTLE_EXTRA_BYTES: usize = 64 << 10;
 
 /// Sends a call to the upstream of `running` and waits for its answer's head, and for all of an
 /// answer that is held until whole.
 pub async fn attempt(
     entry: &Arc<Entry>,
-    call: &Call,
+    request: &CallerRequest,
     row: &Row,
-    running: Running,
-    once: bool,
-) -> Attempt {
+    running: RunningRequest,
+    send_once: bool,
+) -> AttemptOutcome {
     let upstream = running.upstream().clone();
-    let remaining = call.remaining();
+    let remaining = request.remaining();
     if remaining.is_zero() {
-        return Attempt::NotSent("the deadline passed".into());
+        return AttemptOutcome::NotSent("the deadline passed".into());
     }
-    let req = request(entry, call, row, once);
+    let req = build_request(entry, request, row, send_once);
     let within = entry.cfg.attempt_timeout.min(remaining);
     let res = match entry.client.send(upstream.listen(), req, within).await {
         Ok(res) => res,
         Err(e) => {
-            upstream.failed(entry.cfg.eject_failures, entry.cfg.eject_time);
+            upstream.record_failure(entry.cfg.eject_failures, entry.cfg.eject_time);
             return match e {
-                SendError::NotSent(..) => Attempt::NotSent(e.to_string()),
-                SendError::TimedOut(..) if call.remaining().is_zero() => Attempt::Late,
-                _ => Attempt::Lost(e.to_string()),
+                SendError::NotSent(..) => AttemptOutcome::NotSent(e.to_string()),
+                SendError::TimedOut(..) if request.remaining().is_zero() => {
+                    AttemptOutcome::TimedOut
+                }
+                _ => AttemptOutcome::ResponseLost(e.to_string()),
             };
         }
     };
     let headers = res.headers();
-    upstream.answered(web::header(headers, header::LOAD).and_then(|s| s.parse().ok()));
+    upstream.record_response(web::header(headers, header::LOAD).and_then(|s| s.parse().ok()));
     if let Some(reason) = web::header(headers, header::REFUSED) {
         let reason = reason.to_owned();
-        note_refusal(&upstream, row, &reason);
-        return Attempt::Refused(reason);
+        apply_refusal(&upstream, row, &reason);
+        return AttemptOutcome::Refused(reason);
     }
-    match own(headers, call, row) {
-        true => collect(entry, call, running, res).await,
-        false => Attempt::Lost(format!("{} answered another request", upstream.vm())),
+    match is_own_response(headers, request, row) {
+        true => read_response(entry, request, running, res).await,
+        false => {
+            AttemptOutcome::ResponseLost(format!("{} answered another request", upstream.vm()))
+        }
     }
 }
 
-fn request(entry: &Entry, call: &Call, row: &Row, once: bool) -> hyper::Request<web::Body> {
-    let mut req = hyper::Request::new(web::full(call.body.clone()));
-    *req.method_mut() = call.method.clone();
+fn build_request(
+    entry: &Entry,
+    request: &CallerRequest,
+    row: &Row,
+    send_once: bool,
+) -> hyper::Request<web::Body> {
+    let mut req = hyper::Request::new(web::full(request.body.clone()));
+    *req.method_mut() = request.method.clone();
     // The path came out of a valid URI.
-    *req.uri_mut() = call.path.parse().unwrap_or_default();
+    *req.uri_mut() = request.path.parse().unwrap_or_default();
     let headers = req.headers_mut();
-    *headers = call.headers.clone();
-    let revision = entry.force.revision().to_string();
-    let deadline = call.remaining().as_millis().to_string();
-    web::set_header(headers, header::REQUEST, &call.id);
-    web::set_header(headers, header::MODEL, &call.model);
+    *headers = request.headers.clone();
+    let revision = entry.active_table.revision().to_string();
+    let deadline = request.remaining().as_millis().to_string();
+    web::set_header(headers, header::REQUEST, &request.id);
+    web::set_header(headers, header::MODEL, &request.model);
     web::set_header(headers, header::VERSION, &row.version.to_string());
     web::set_header(headers, header::REVISION, &revision);
     web::set_header(headers, header::DEADLINE, &deadline);
-    web::set_header(headers, header::PRIORITY, &priority(call, row).to_string());
+    web::set_header(
+        headers,
+        header::PRIORITY,
+        &priority(request, row).to_string(),
+    );
     web::set_header(headers, header::DOMAIN, &entry.cfg.upkeep.domain);
-    web::set_header(headers, header::WORKSPACE, &call.workspace);
-    if once {
+    web::set_header(headers, header::WORKSPACE, &request.workspace);
+    if send_once {
         web::set_header(headers, header::UNSAFE, "true");
     }
     req
 }
 
 /// The row's priority, which a caller may lower.
-pub fn priority(call: &Call, row: &Row) -> u8 {
-    call.priority.map_or(row.priority, |p| p.min(row.priority))
+pub fn priority(request: &CallerRequest, row: &Row) -> u8 {
+    request
+        .priority
+        .map_or(row.priority, |p| p.min(row.priority))
 }
 
-fn note_refusal(upstream: &Upstream, row: &Row, reason: &str) {
+fn apply_refusal(upstream: &Upstream, row: &Row, reason: &str) {
     match reason {
-        "leaving" => upstream.mark_leaving(),
+        "leaving" => upstream.mark_draining(),
         "version" => upstream.mark_not_live(&row.model, &row.version),
         _ => {}
     }
 }
 
 /// Whether an answer is that of this request, by the version it was pinned to.
-fn own(headers: &HeaderMap, call: &Call, row: &Row) -> bool {
-    web::header(headers, header::REQUEST) == Some(call.id.as_str())
+fn is_own_response(headers: &HeaderMap, request: &CallerRequest, row: &Row) -> bool {
+    web::header(headers, header::REQUEST) == Some(request.id.as_str())
         && web::header(headers, header::VERSION) == Some(row.version.to_string().as_str())
 }
 
-async fn collect(
+async fn read_response(
     entry: &Entry,
-    call: &Call,
-    running: Running,
+    request: &CallerRequest,
+    running: RunningRequest,
     res: hyper::Response<Incoming>,
-) -> Attempt {
+) -> AttemptOutcome {
     let (head, body) = res.into_parts();
-    let is_events = web::header(&head.headers, "content-type")
+    let is_event_stream = web::header(&head.headers, "content-type")
         .is_some_and(|t| t.starts_with("text/event-stream"));
-    let large = content_length(&head.headers).is_some_and(|n| n > entry.cfg.max_answer);
-    let body = match is_events || large {
-        true => AnswerBody::Passing {
+    let is_large = content_length(&head.headers).is_some_and(|n| n > entry.cfg.max_answer);
+    let body = match is_event_stream || is_large {
+        true => UpstreamBody::Streaming {
             body,
-            events: is_events,
+            is_event_stream,
             running,
         },
-        false => match whole(entry, call, body).await {
-            Ok(buf) => AnswerBody::Whole(buf),
-            Err(attempt) => return attempt,
+        false => match read_complete_body(entry, request, body).await {
+            Ok(buf) => UpstreamBody::Complete(buf),
+            Err(outcome) => return outcome,
         },
     };
-    Attempt::Answered(Box::new(Answer {
+    AttemptOutcome::Answered(Box::new(UpstreamResponse {
         status: head.status,
         headers: head.headers,
         body,
@@ -146,13 +161,17 @@
     }))
 }
 
-async fn whole(entry: &Entry, call: &Call, body: Incoming) -> Result<Bytes, Attempt> {
+async fn read_complete_body(
+    entry: &Entry,
+    request: &CallerRequest,
+    body: Incoming,
+) -> Result<Bytes, AttemptOutcome> {
     let limit = entry.cfg.max_answer as usize;
-    read_body(body, limit, call.remaining())
+    read_body(body, limit, request.remaining())
         .await
         .map_err(|e| match e {
-            BodyError::TimedOut(_) => Attempt::Late,
-            e => Attempt::Lost(e.to_string()),
+            BodyError::TimedOut(_) => AttemptOutcome::TimedOut,
+            e => AttemptOutcome::ResponseLost(e.to_string()),
         })
 }
 
@@ -168,7 +187,7 @@
     /// It runs.
     Running,
     /// It ran, with this answer.
-    Done(Box<Answer>),
+    Done(Box<UpstreamResponse>),
     /// Nobody can say.
     Unknown,
 }
@@ -180,24 +199,29 @@
     web::set_header(req.headers_mut(), header::SETTLE, &record.request);
     let incarnation = record.incarnation.to_string();
     web::set_header(req.headers_mut(), header::INCARNATION, &incarnation);
-    let Ok(res) = entry.client.send(record.listen, req, SOON).await else {
+    let Ok(res) = entry
+        .client
+        .send(record.listen, req, DEFAULT_RETRY_AFTER)
+        .await
+    else {
         return Settlement::Unknown;
     };
     let (mut head, body) = res.into_parts();
-    let same = web::header(&head.headers, header::INCARNATION) == Some(incarnation.as_str());
+    let same_incarnation =
+        web::header(&head.headers, header::INCARNATION) == Some(incarnation.as_str());
     let settled = web::header(&head.headers, header::SETTLED).and_then(Settled::parse);
     match settled {
-        Some(Settled::Sealed) if same => Settlement::Sealed,
-        Some(Settled::Running) if same => Settlement::Running,
-        Some(Settled::Done) if same => {
-            let limit = entry.cfg.max_answer as usize + SETTLE_EXTRA;
-            match read_body(body, limit, SOON).await {
+        Some(Settled::Sealed) if same_incarnation => Settlement::Sealed,
+        Some(Settled::Running) if same_incarnation => Settlement::Running,
+        Some(Settled::Done) if same_incarnation => {
+            let limit = entry.cfg.max_answer as usize + SETTLE_EXTRA_BYTES;
+            match read_body(body, limit, DEFAULT_RETRY_AFTER).await {
                 Ok(buf) => {
                     head.headers.remove(header::SETTLED);
-                    Settlement::Done(Box::new(Answer {
+                    Settlement::Done(Box::new(UpstreamResponse {
                         status: StatusCode::from_u16(head.status.as_u16()).unwrap_or_default(),
                         headers: head.headers,
-                        body: AnswerBody::Whole(buf),
+                        body: UpstreamBody::Complete(buf),
                         replayed: true,
                     }))
                 }
--- a/crates/entry/src/route/pick.rs
+++ b/crates/entry/src/route/balance.rs
@@ -19,9 +19,9 @@
 use settings::EntryCfg;
 use table::Row;
 
-use crate::call::Call;
 use crate::membership::fleet::Fleet;
 use crate::membership::upstream::{Slot, Upstream};
+use crate::request::CallerRequest;
 
 /// What became of a choice.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// There are upstreams, but none has a free slot.
     Busy,
     /// There is no upstream.
-    Nobody,
+    NoUpstream,
 }
 
 /// A candidate and since when its version has been live.
@@ -43,12 +43,12 @@
 
 impl Candidate {
     /// Load, raised while the replica is warming up.
-    fn weight(&self, slow_start: Duration) -> f64 {
-        let warmth = match clock::since(self.live_since) {
-            age if age >= slow_start => 1.0,
-            age => (age.as_secs_f64() / slow_start.as_secs_f64()).max(0.1),
+    fn weighted_load(&self, slow_start: Duration) -> f64 {
+        let warm_up = match clock::since(self.live_since) {
+            live_for if live_for >= slow_start => 1.0,
+            live_for => (live_for.as_secs_f64() / slow_start.as_secs_f64()).max(0.1),
         };
-        (f64::from(self.upstream.load()) + 1.0) / warmth
+        (f64::from(self.upstream.load()) + 1.0) / warm_up
     }
 }
 
@@ -61,13 +61,13 @@
 pub fn pick(
     fleet: &Fleet,
     row: &Row,
-    call: &Call,
+    request: &CallerRequest,
     cfg: &EntryCfg,
     tried: &[Arc<Upstream>],
 ) -> Pick {
     let candidates = candidates(fleet, row, cfg, tried);
     if candidates.is_empty() {
-        return Pick::Nobody;
+        return Pick::NoUpstream;
     }
     let limit = cfg.upstream_running as u32;
     let free: Vec<Candidate> = candidates
@@ -78,13 +78,14 @@
         return Pick::Busy;
     }
     let chosen = match cfg.policy.as_str() {
-        "two" => of_two(&free, cfg),
+        "two" => less_loaded_of_two(&free, cfg),
         "random" => free[rand::rng().random_range(0..free.len())].clone(),
-        "round-robin" => in_turn(free.clone()),
+        "round-robin" => round_robin(free.clone()),
         "least-reported" => least_reported(&free),
-        _ => preferred(&free, call, cfg).unwrap_or_else(|| of_two(&free, cfg)),
+        _ => preferred_by_prefix(&free, request, cfg)
+            .unwrap_or_else(|| less_loaded_of_two(&free, cfg)),
     };
-    match Slot::take(&chosen.upstream, limit) {
+    match Slot::acquire(&chosen.upstream, limit) {
         Some(slot) => Pick::Chosen(slot),
         None => Pick::Busy,
     }
@@ -96,7 +97,7 @@
             .into_iter()
             .filter(|u| !tried.iter().any(|t| Arc::ptr_eq(t, u)))
             .filter(|u| !cfg.check_places || row.permits(u.domain(), &cfg.upkeep.domains))
-            .filter(|u| !fleet.listed_leaving(u.vm()))
+            .filter(|u| !fleet.is_listed_draining(u.vm()))
             .filter_map(|upstream| {
                 let live_since = upstream.live_since(&row.model, &row.version)?;
                 Some(Candidate {
@@ -117,7 +118,7 @@
 fn without_ejected(all: Vec<Candidate>) -> Vec<Candidate> {
     let healthy: Vec<Candidate> = all
         .iter()
-        .filter(|c| !c.upstream.ejected())
+        .filter(|c| !c.upstream.is_ejected())
         .cloned()
         .collect();
     match healthy.is_empty() {
@@ -127,39 +128,44 @@
 }
 
 /// The upstream the prompt's prefix prefers, while its load is within the bound.
-fn preferred(free: &[Candidate], call: &Call, cfg: &EntryCfg) -> Option<Candidate> {
-    if call.prefix == 0 || free.len() < 2 {
+fn preferred_by_prefix(
+    free: &[Candidate],
+    request: &CallerRequest,
+    cfg: &EntryCfg,
+) -> Option<Candidate> {
+    if request.prefix_hash == 0 || free.len() < 2 {
         return None;
     }
     let best = free
         .iter()
-        .max_by_key(|c| rank(&call.prefix.to_le_bytes(), c.upstream.vm()))?;
-    let sum: f64 = free.iter().map(|c| c.weight(cfg.slow_start)).sum();
+        .max_by_key(|c| rank(&request.prefix_hash.to_le_bytes(), c.upstream.vm()))?;
+    let sum: f64 = free.iter().map(|c| c.weighted_load(cfg.slow_start)).sum();
     let bound = sum / free.len() as f64 * cfg.prefix_load as f64 / 100.0;
-    (best.weight(cfg.slow_start) <= bound.max(2.0)).then(|| best.clone())
+    (best.weighted_load(cfg.slow_start) <= bound.max(2.0)).then(|| best.clone())
 }
 
 /// The next in the order of VMs.
-fn in_turn(mut free: Vec<Candidate>) -> Candidate {
-    static TURN: AtomicUsize = AtomicUsize::new(0);
+fn round_robin(mut free: Vec<Candidate>) -> Candidate {
+    static NEXT: AtomicUsize = AtomicUsize::new(0);
     free.sort_by(|a, b| a.upstream.vm().cmp(b.upstream.vm()));
-    let turn = TURN.fetch_add(1, Ordering::Relaxed) % free.len();
-    free.swap_remove(turn)
+    let index = NEXT.fetch_add(1, Ordering::Relaxed) % free.len();
+    free.swap_remove(index)
 }
 
 /// The one with the lowest load as reported.
 fn least_reported(free: &[Candidate]) -> Candidate {
-    let least = free.iter().min_by_key(|c| c.upstream.reported());
-    least.unwrap_or(&free[0]).clone()
+    let lowest = free.iter().min_by_key(|c| c.upstream.reported_load());
+    lowest.unwrap_or(&free[0]).clone()
 }
 
-fn of_two(free: &[Candidate], cfg: &EntryCfg) -> Candidate {
+fn less_loaded_of_two(free: &[Candidate], cfg: &EntryCfg) -> Candidate {
     let mut rng = rand::rng();
     let a = rng.random_range(0..free.len());
     let b = rng.random_range(0..free.len());
-    let lighter = match free[a].weight(cfg.slow_start) <= free[b].weight(cfg.slow_start) {
-        true => a,
-        false => b,
-    };
-    free[lighter].clone()
+    let less_loaded =
+        match free[a].weighted_load(cfg.slow_start) <= free[b].weighted_load(cfg.slow_start) {
+            true => a,
+            false => b,
+        };
+    free[less_loaded].clone()
 }
--- a/crates/entry/src/route/dispatch.rs
+++ b/crates/entry/src/route/dispatch.rs
@@ -13,14 +13,14 @@
 use table::Row;
 
 use crate::Entry;
-use crate::answer::Answer;
-use crate::call::{Call, Safety};
 use crate::claim::{ClaimRecord, WriteOutcome, claim_key};
 use crate::membership::upstream::Upstream;
-use crate::refusal::{Refusal, SOON};
-use crate::route::attempt::{Attempt, Settlement, attempt, priority, settle};
-use crate::route::pick::{Pick, pick};
-use crate::route::running::Running;
+use crate::refusal::{DEFAULT_RETRY_AFTER, Refusal};
+use crate::request::{CallerRequest, RetrySafety};
+use crate::response::UpstreamResponse;
+use crate::route::attempt::{AttemptOutcome, Settlement, attempt, priority, settle};
+use crate::route::balance::{Pick, pick};
+use crate::route::running::RunningRequest;
 
 /// Log prefix of this part.
 const PART: &str = "dispatch";
@@ -28,14 +28,14 @@
 /// A request on its way.
 pub struct Dispatch<'a> {
     entry: &'a Arc<Entry>,
-    call: &'a Call,
+    request: &'a CallerRequest,
     row: &'a Row,
     tried: Vec<Arc<Upstream>>,
     last_refusal: Option<Refusal>,
 }
 
 /// A claim that stands for this request.
-struct Held {
+struct HeldClaim {
     key: String,
     tag: Option<Tag>,
     record: ClaimRecord,
@@ -43,10 +43,10 @@
 
 impl<'a> Dispatch<'a> {
     /// A request pinned to a row.
-    pub fn new(entry: &'a Arc<Entry>, call: &'a Call, row: &'a Row) -> Dispatch<'a> {
+    pub fn new(entry: &'a Arc<Entry>, request: &'a CallerRequest, row: &'a Row) -> Dispatch<'a> {
         Dispatch {
             entry,
-            call,
+            request,
             row,
             tried: Vec::new(),
             last_refusal: None,
@@ -54,94 +54,115 @@
     }
 
     /// Runs the request to its answer or its refusal.
-    pub async fn run(mut self) -> Result<Answer, Refusal> {
-        match &self.call.safety {
-            Safety::Keyed(key) => {
-                let key = claim_key(&self.call.workspace, key);
+    pub async fn run(mut self) -> Result<UpstreamResponse, Refusal> {
+        match &self.request.retry_safety {
+            RetrySafety::Keyed(key) => {
+                let key = claim_key(&self.request.workspace, key);
                 self.run_keyed(key).await
             }
-            Safety::Once | Safety::Repeatable => self.run_plain().await,
+            RetrySafety::SendOnce | RetrySafety::Retryable => self.run_unkeyed().await,
         }
     }
 
-    async fn run_plain(&mut self) -> Result<Answer, Refusal> {
-        let mut lost = None;
+    async fn run_unkeyed(&mut self) -> Result<UpstreamResponse, Refusal> {
+        let mut lost_response = None;
         loop {
             let running = match self.next_upstream().await {
                 Ok(running) => running,
-                Err(refusal) => return Err(lost.unwrap_or(refusal)),
+                Err(refusal) => return Err(lost_response.unwrap_or(refusal)),
             };
             let upstream = running.upstream().clone();
-            let once = self.once_at(&upstream);
+            let send_once = self.must_send_once(&upstream);
             let record = self.record(&upstream);
-            match attempt(self.entry, self.call, self.row, running, once).await {
-                Attempt::Answered(answer) => return Ok(*answer),
-                Attempt::Refused(why) | Attempt::NotSent(why) => self.not_run_at(&upstream, why),
-                Attempt::Late if !once => return Err(Refusal::LateAnswer),
-                Attempt::Lost(why) if !once => {
-                    self.log_lost(&upstream, &why);
-                    lost = Some(Refusal::Lost(why));
+            match attempt(self.entry, self.request, self.row, running, send_once).await {
+                AttemptOutcome::Answered(response) => return Ok(*response),
+                AttemptOutcome::Refused(reason) | AttemptOutcome::NotSent(reason) => {
+                    self.record_not_run(&upstream, reason)
                 }
-                attempt => match settle(self.entry, &record).await {
-                    Settlement::Sealed => self.not_run_at(&upstream, "sealed".into()),
-                    Settlement::Done(answer) => return Ok(*answer),
-                    Settlement::Running | Settlement::Unknown => return Err(given_up(attempt)),
+                AttemptOutcome::TimedOut if !send_once => return Err(Refusal::LateAnswer),
+                AttemptOutcome::ResponseLost(reason) if !send_once => {
+                    self.record_lost_response(&upstream, &reason);
+                    lost_response = Some(Refusal::Lost(reason));
+                }
+                outcome => match settle(self.entry, &record).await {
+                    Settlement::Sealed => self.record_not_run(&upstream, "sealed".into()),
+                    Settlement::Done(response) => return Ok(*response),
+                    Settlement::Running | Settlement::Unknown => {
+                        return Err(unknown_outcome(outcome));
+                    }
                 },
             }
         }
     }
 
-    async fn run_keyed(&mut self, key: String) -> Result<Answer, Refusal> {
+    async fn run_keyed(&mut self, key: String) -> Result<UpstreamResponse, Refusal> {
         let running = self.next_upstream().await?;
         let record = self.record(running.upstream());
         match self.entry.claims.claim(key.clone(), &record).await {
             WriteOutcome::Applied => {
                 let tag = None;
-                self.run_held(Held { key, tag, record }, running).await
+                self.run_claimed(HeldClaim { key, tag, record }, running)
+                    .await
+            }
+            WriteOutcome::Conflict | WriteOutcome::Unknown => {
+                self.run_existing_claim(key, running).await
             }
-            WriteOutcome::Conflict | WriteOutcome::Unknown => self.run_existing(key, running).await,
-            WriteOutcome::Failed => Err(Refusal::NoClaim(SOON)),
+            WriteOutcome::Failed => Err(Refusal::NoClaim(DEFAULT_RETRY_AFTER)),
         }
     }
 
     /// Finds out whose claim stands, and goes on from there.
-    async fn run_existing(&mut self, key: String, running: Running) -> Result<Answer, Refusal> {
+    async fn run_existing_claim(
+        &mut self,
+        key: String,
+        running: RunningRequest,
+    ) -> Result<UpstreamResponse, Refusal> {
         let found = self.entry.claims.read(&key).await;
         let Ok(Some((record, tag))) = found else {
             // An own claim that shows up later names a request that is never sent.
-            return Err(Refusal::NoClaim(SOON));
+            return Err(Refusal::NoClaim(DEFAULT_RETRY_AFTER));
         };
         let tag = Some(tag);
-        if record.request == self.call.id {
-            return self.run_held(Held { key, tag, record }, running).await;
+        if record.request == self.request.id {
+            return self
+                .run_claimed(HeldClaim { key, tag, record }, running)
+                .await;
         }
-        if record.content != self.call.content() {
+        if record.content != self.request.content_digest() {
             return Err(Refusal::KeyReused);
         }
         if !record.released {
             match settle(self.entry, &record).await {
                 Settlement::Sealed => {}
-                Settlement::Done(answer) => return Ok(*answer),
-                Settlement::Running => return Err(Refusal::KeyRunning(SOON)),
+                Settlement::Done(response) => return Ok(*response),
+                Settlement::Running => return Err(Refusal::KeyRunning(DEFAULT_RETRY_AFTER)),
                 Settlement::Unknown => return Err(Refusal::KeyUnknown),
             }
         }
-        let held = Held { key, tag, record };
-        let held = self.hold_anew(held, running.upstream()).await?;
-        self.run_held(held, running).await
+        let held = HeldClaim { key, tag, record };
+        let held = self.move_claim(held, running.upstream()).await?;
+        self.run_claimed(held, running).await
     }
 
     /// Sends the request while its claim stands, moving the claim along with it.
-    async fn run_held(&mut self, mut held: Held, mut running: Running) -> Result<Answer, Refusal> {
+    async fn run_claimed(
+        &mut self,
+        mut held: HeldClaim,
+        mut running: RunningRequest,
+    ) -> Result<UpstreamResponse, Refusal> {
         loop {
             let upstream = running.upstream().clone();
-            match attempt(self.entry, self.call, self.row, running, true).await {
-                Attempt::Answered(answer) => return Ok(*answer),
-                Attempt::Refused(why) | Attempt::NotSent(why) => self.not_run_at(&upstream, why),
-                attempt => match settle(self.entry, &held.record).await {
-                    Settlement::Sealed => self.not_run_at(&upstream, "sealed".into()),
-                    Settlement::Done(answer) => return Ok(*answer),
-                    Settlement::Running | Settlement::Unknown => return Err(given_up(attempt)),
+            match attempt(self.entry, self.request, self.row, running, true).await {
+                AttemptOutcome::Answered(response) => return Ok(*response),
+                AttemptOutcome::Refused(reason) | AttemptOutcome::NotSent(reason) => {
+                    self.record_not_run(&upstream, reason)
+                }
+                outcome => match settle(self.entry, &held.record).await {
+                    Settlement::Sealed => self.record_not_run(&upstream, "sealed".into()),
+                    Settlement::Done(response) => return Ok(*response),
+                    Settlement::Running | Settlement::Unknown => {
+                        return Err(unknown_outcome(outcome));
+                    }
                 },
             }
             running = match self.next_upstream().await {
@@ -151,24 +172,28 @@
                     return Err(refusal);
                 }
             };
-            held = self.hold_anew(held, running.upstream()).await?;
+            held = self.move_claim(held, running.upstream()).await?;
         }
     }
 
     /// Moves the claim to another upstream before the request is sent there.
-    async fn hold_anew(&self, held: Held, upstream: &Arc<Upstream>) -> Result<Held, Refusal> {
+    async fn move_claim(
+        &self,
+        held: HeldClaim,
+        upstream: &Arc<Upstream>,
+    ) -> Result<HeldClaim, Refusal> {
         let record = self.record(upstream);
-        let tag = self.tag_of(&held).await?;
+        let tag = self.claim_tag(&held).await?;
         match self.entry.claims.replace(&held.key, tag, &record).await {
             WriteOutcome::Applied => {}
-            WriteOutcome::Conflict => return Err(Refusal::KeyRunning(SOON)),
-            WriteOutcome::Failed => return Err(Refusal::NoClaim(SOON)),
+            WriteOutcome::Conflict => return Err(Refusal::KeyRunning(DEFAULT_RETRY_AFTER)),
+            WriteOutcome::Failed => return Err(Refusal::NoClaim(DEFAULT_RETRY_AFTER)),
             WriteOutcome::Unknown => match self.entry.claims.read(&held.key).await {
                 Ok(Some((found, _))) if found == record => {}
-                _ => return Err(Refusal::NoClaim(SOON)),
+                _ => return Err(Refusal::NoClaim(DEFAULT_RETRY_AFTER)),
             },
         }
-        Ok(Held {
+        Ok(HeldClaim {
             key: held.key,
             tag: None,
             record,
@@ -176,20 +201,20 @@
     }
 
     /// The tag of a claim, read where it isn't known, and only if the claim is still the same.
-    async fn tag_of(&self, held: &Held) -> Result<Tag, Refusal> {
+    async fn claim_tag(&self, held: &HeldClaim) -> Result<Tag, Refusal> {
         if let Some(tag) = &held.tag {
             return Ok(tag.clone());
         }
         match self.entry.claims.read(&held.key).await {
             Ok(Some((record, tag))) if record == held.record => Ok(tag),
-            Ok(_) => Err(Refusal::KeyRunning(SOON)),
-            Err(_) => Err(Refusal::NoClaim(SOON)),
+            Ok(_) => Err(Refusal::KeyRunning(DEFAULT_RETRY_AFTER)),
+            Err(_) => Err(Refusal::NoClaim(DEFAULT_RETRY_AFTER)),
         }
     }
 
     /// Says in the table that the request has not run, so that a resend can run at once.
-    async fn release(&self, held: Held) {
-        let Ok(tag) = self.tag_of(&held).await else {
+    async fn release(&self, held: HeldClaim) {
+        let Ok(tag) = self.claim_tag(&held).await else {
             return;
         };
         let record = ClaimRecord {
@@ -200,81 +225,83 @@
     }
 
     /// Waits for an upstream with a free slot.
-    async fn next_upstream(&mut self) -> Result<Running, Refusal> {
+    async fn next_upstream(&mut self) -> Result<RunningRequest, Refusal> {
         if self.tried.len() as u64 >= self.entry.cfg.max_attempts {
-            return Err(self.nobody());
+            return Err(self.no_upstream());
         }
         let mut ticket = None;
         loop {
             match pick(
                 &self.entry.fleet,
                 self.row,
-                self.call,
+                self.request,
                 &self.entry.cfg,
                 &self.tried,
             ) {
                 Pick::Chosen(slot) => {
-                    self.pay_retry()?;
-                    return Ok(Running::new(self.entry, slot));
+                    self.spend_retry()?;
+                    return Ok(RunningRequest::new(self.entry, slot));
                 }
-                Pick::Nobody => return Err(self.nobody()),
+                Pick::NoUpstream => return Err(self.no_upstream()),
                 Pick::Busy => {}
             }
             if ticket.is_none() {
-                let priority = priority(self.call, self.row);
-                ticket = Some(self.entry.queue.enter(priority, self.call.remaining())?);
+                let priority = priority(self.request, self.row);
+                ticket = Some(self.entry.queue.enter(priority, self.request.remaining())?);
             }
-            if self.call.remaining().is_zero() {
+            if self.request.remaining().is_zero() {
                 return Err(Refusal::NoTime(self.entry.queue.retry_after()));
             }
             if let Some(ticket) = &mut ticket {
-                ticket.turn(self.call.deadline).await?;
+                ticket.wait(self.request.deadline).await?;
             }
         }
     }
 
     /// Pays for an attempt after the first.
-    fn pay_retry(&self) -> Result<(), Refusal> {
+    fn spend_retry(&self) -> Result<(), Refusal> {
         if self.tried.is_empty() {
             return Ok(());
         }
-        if !self.entry.retries.spend() {
-            return Err(Refusal::NoRetries(self.entry.queue.retry_after().max(SOON)));
+        if !self.entry.retry_budget.withdraw() {
+            return Err(Refusal::NoRetries(
+                self.entry.queue.retry_after().max(DEFAULT_RETRY_AFTER),
+            ));
         }
         metrics::counter!("driftnotch_retries_total").increment(1);
         Ok(())
     }
 
-    fn nobody(&mut self) -> Refusal {
+    fn no_upstream(&mut self) -> Refusal {
         let name = self.row.name();
         self.last_refusal
             .take()
-            .unwrap_or(Refusal::NoUpstream(name, SOON))
+            .unwrap_or(Refusal::NoUpstream(name, DEFAULT_RETRY_AFTER))
     }
 
-    fn not_run_at(&mut self, upstream: &Arc<Upstream>, why: String) {
-        let (id, vm) = (&self.call.id, upstream.vm());
-        info!(target: PART, "{PART}: request {id} has not run at {vm}: {why}");
-        self.last_refusal = Some(Refusal::AllRefused(SOON));
+    fn record_not_run(&mut self, upstream: &Arc<Upstream>, reason: String) {
+        let (id, vm) = (&self.request.id, upstream.vm());
+        info!(target: PART, "{PART}: request {id} did not run at {vm}: {reason}");
+        self.last_refusal = Some(Refusal::AllRefused(DEFAULT_RETRY_AFTER));
         self.tried.push(upstream.clone());
     }
 
-    fn log_lost(&mut self, upstream: &Arc<Upstream>, why: &str) {
-        let (id, vm) = (&self.call.id, upstream.vm());
-        info!(target: PART, "{PART}: request {id} lost its answer at {vm}: {why}");
+    fn record_lost_response(&mut self, upstream: &Arc<Upstream>, reason: &str) {
+        let (id, vm) = (&self.request.id, upstream.vm());
+        info!(target: PART, "{PART}: response to request {id} from {vm} lost: {reason}");
         self.tried.push(upstream.clone());
     }
 
     /// Whether the request may be sent only once to this upstream.
-    fn once_at(&self, upstream: &Upstream) -> bool {
-        let repeatable = !self.call.service || upstream.info.repeatable;
-        self.call.is_unsafe() || !repeatable
+    fn must_send_once(&self, upstream: &Upstream) -> bool {
+        let repeatable = !self.request.is_service || upstream.info.repeatable;
+        self.request.is_unsafe() || !repeatable
     }
 
     fn record(&self, upstream: &Upstream) -> ClaimRecord {
         ClaimRecord {
-            request: self.call.id.clone(),
-            content: self.call.content(),
+            request: self.request.id.clone(),
+            content: self.request.content_digest(),
             vm: upstream.vm().clone(),
             listen: upstream.listen(),
             incarnation: upstream.incarnation(),
@@ -285,10 +312,10 @@
 }
 
 /// The refusal of a request that may have run.
-fn given_up(attempt: Attempt) -> Refusal {
-    let refusal = match attempt {
-        Attempt::Late => Refusal::LateAnswer,
-        Attempt::Lost(why) => Refusal::Lost(why),
+fn unknown_outcome(outcome: AttemptOutcome) -> Refusal {
+    let refusal = match outcome {
+        AttemptOutcome::TimedOut => Refusal::LateAnswer,
+        AttemptOutcome::ResponseLost(reason) => Refusal::Lost(reason),
         other => Refusal::Lost(format!("{other:?}")),
     };
     debug_assert_eq!(refusal.outcome(), Outcome::Unknown);
--- a/crates/entry/src/route/running.rs
+++ b/crates/entry/src/route/running.rs
@@ -7,15 +7,15 @@
 
 /// A running request; frees its slot when dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningRequest {
     slot: Option<Slot>,
     entry: Arc<Entry>,
 }
 
-impl Running {
+impl RunningRequest {
     /// Counts a request as running.
-    pub fn new(entry: &Arc<Entry>, slot: Slot) -> Running {
-        Running {
+    pub fn new(entry: &Arc<Entry>, slot: Slot) -> RunningRequest {
+        RunningRequest {
             slot: Some(slot),
             entry: entry.clone(),
         }
@@ -27,9 +27,9 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         self.slot = None;
-        self.entry.queue.freed();
+        self.entry.queue.slot_freed();
     }
 }
--- a/crates/entry/src/route/share.rs
+++ b/crates/entry/src/route/split.rs
@@ -10,13 +10,13 @@
 
 /// Credits of each version, by model.
 #[derive(Debug, Default)]
-pub struct Shares {
+pub struct TrafficSplit {
     credits: Mutex<Map<Model, Map<Version, i64>>>,
 }
 
-impl Shares {
+impl TrafficSplit {
     /// The row the next request goes to; `None` where no row has a share.
-    pub fn next<'a>(&self, rows: &[&'a Row]) -> Option<&'a Row> {
+    pub fn next_row<'a>(&self, rows: &[&'a Row]) -> Option<&'a Row> {
         let mut credits = self.credits.lock().unwrap_or_else(PoisonError::into_inner);
         let model = &rows.first()?.model;
         let credits = credits.entry(model.clone()).or_default();
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -23,19 +23,19 @@
 use crate::membership::fleet::Fleet;
 use crate::membership::links::{AddressBook, ClaimJob};
 use crate::membership::{control, links};
-use crate::retry::RetryBudget;
-use crate::route::share::Shares;
+use crate::retry_budget::RetryBudget;
+use crate::route::split::TrafficSplit;
 use crate::telemetry::{BurnBounds, Telemetry};
-use crate::{Entry, JOIN_TIME, Readiness, admin, poll, serve};
+use crate::{Entry, JOIN_WINDOW, Readiness, admin, poll, serve};
 
 /// Log prefix of this part.
 const PART: &str = "entry";
 
 /// Batches of claims that may wait to be forwarded.
-const MAX_JOBS: usize = 256;
+const MAX_CLAIM_JOBS: usize = 256;
 
 /// Time between two looks at whether requests can be sent on.
-const READY_LOOK: Duration = Duration::from_millis(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why an entry could not start.
 #[derive(Debug, Display)]
@@ -56,7 +56,7 @@
     let control = bind(cfg.control, "control").await?;
     let admin = bind(cfg.upkeep.admin, "admin").await?;
     let upkeep = cfg.upkeep.clone();
-    let (jobs_tx, jobs_rx) = mpsc::channel(MAX_JOBS);
+    let (jobs_tx, jobs_rx) = mpsc::channel(MAX_CLAIM_JOBS);
     let entry = new_entry(cfg, jobs_tx);
     start_control(&entry, control, jobs_rx)?;
     start_polls(&entry);
@@ -68,18 +68,18 @@
         closing.clone(),
         move |req| admin::handle(admin_entry.clone(), req, render.clone()),
     ));
-    until_ready(&entry, &stop).await;
+    wait_until_ready(&entry, &stop).await;
     let callers = bind(entry.cfg.listen, "listen").await?;
     let listen = entry.cfg.listen;
     info!(target: PART, "{PART}: {} in {} listens on {listen}", upkeep.vm, upkeep.domain);
-    let bounds = ServerLimits {
+    let limits = ServerLimits {
         max_connections: upkeep.max_connections,
         header_timeout: upkeep.header_timeout,
         max_header_bytes: upkeep.max_header,
         drain_timeout: upkeep.drain_timeout,
     };
     let caller_entry = entry.clone();
-    let caller_server = tokio::spawn(web::serve(callers, bounds, closing, move |req| {
+    let caller_server = tokio::spawn(web::serve(callers, limits, closing, move |req| {
         serve::handle(caller_entry.clone(), req)
     }));
     let _ = stop.wait_for(|stopping| *stopping).await;
@@ -96,12 +96,12 @@
 /// Waits to listen for callers until requests can be sent on; a balancer meets a closed port
 /// meanwhile and asks another entry. An entry that stays without table or agents listens all the
 /// same, and says so to each caller.
-async fn until_ready(entry: &Entry, stop: &StopSignal) {
-    while entry.readiness() != Readiness::Ready && clock::since(entry.begun) < JOIN_TIME {
+async fn wait_until_ready(entry: &Entry, stop: &StopSignal) {
+    while entry.readiness() != Readiness::Ready && clock::since(entry.started_at) < JOIN_WINDOW {
         if *stop.borrow() {
             return;
         }
-        tokio::time::sleep(READY_LOOK).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
 }
 
@@ -119,13 +119,13 @@
         max_batch: cfg.claim_batch as usize,
         retention: cfg.claim_retention,
     };
-    let bounds = BurnBounds {
+    let burn_bounds = BurnBounds {
         first_token: cfg.first_token_bound,
         between_tokens: cfg.token_bound,
     };
     Arc::new_cyclic(|weak: &std::sync::Weak<Entry>| {
         let weak = weak.clone();
-        let claimer = move || weak.upgrade().and_then(|entry| claimer(&entry));
+        let claim_writer = move || weak.upgrade().and_then(|entry| claim_writer(&entry));
         let forward = move |to, claims: Vec<wire::Claim>| {
             let jobs = jobs.clone();
             async move {
@@ -138,22 +138,22 @@
             }
         };
         Entry {
-            force: Arc::new(ActiveTable::new(upkeep.domains.clone())),
+            active_table: Arc::new(ActiveTable::new(upkeep.domains.clone())),
             fleet: Fleet::new(upkeep.domain.clone()),
             limiter: Limiter::default(),
             queue: Queue::new(cfg.max_queue as usize),
-            retries: RetryBudget::new(cfg.retry_budget),
-            shares: Shares::default(),
-            claims: Claims::start(kv, batching, claimer, forward),
+            retry_budget: RetryBudget::new(cfg.retry_budget),
+            traffic_split: TrafficSplit::default(),
+            claims: Claims::start(kv, batching, claim_writer, forward),
             client: Client::new(DialOptions {
                 timeout: cfg.connect_timeout,
                 keep_alive: true,
                 source: upkeep.source,
             }),
-            telemetry: Arc::new(Telemetry::new(bounds)),
-            traffic: Traffic::default(),
-            book: AddressBook::new(cfg.control_reached(), &cfg.entries),
-            begun: clock::now(),
+            telemetry: Arc::new(Telemetry::new(burn_bounds)),
+            control_traffic: Traffic::default(),
+            address_book: AddressBook::new(cfg.control_reached(), &cfg.entries),
+            started_at: clock::now(),
             stopping: AtomicBool::new(false),
             cfg,
         }
@@ -161,13 +161,13 @@
 }
 
 /// The entry of the failure domain that writes claims for all; `None` where this one does.
-fn claimer(entry: &Entry) -> Option<SocketAddr> {
+fn claim_writer(entry: &Entry) -> Option<SocketAddr> {
     let own = (rank(&[], &entry.cfg.upkeep.vm), None);
     entry
         .fleet
         .siblings()
         .into_iter()
-        .map(|e| (rank(&[], &e.note.vm), Some(e.note.control)))
+        .map(|e| (rank(&[], &e.update.vm), Some(e.update.control)))
         .chain([own])
         .max_by_key(|(rank, _)| *rank)
         .and_then(|(_, control)| control)
@@ -185,7 +185,7 @@
         let listener = TcpListener::from_std(listener).expect("a bound listener");
         tokio::join!(
             control::listen(entry.clone(), listener),
-            links::keep(entry, jobs)
+            links::maintain_links(entry, jobs)
         );
     })
     .map(drop)
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -7,12 +7,12 @@
 use web::{Request, Response};
 
 use crate::Entry;
-use crate::answer::Answer;
-use crate::call::Call;
-use crate::limit::Counted;
-use crate::refusal::{Refusal, SOON};
+use crate::limit::LimitPermit;
+use crate::refusal::{DEFAULT_RETRY_AFTER, Refusal};
+use crate::request::CallerRequest;
+use crate::response::UpstreamResponse;
+use crate::route::balance::can_serve;
 use crate::route::dispatch::Dispatch;
-use crate::route::pick::can_serve;
 use crate::telemetry::Labels;
 
 /// Log prefix of this part.
@@ -20,91 +20,103 @@
 
 /// Answers a caller's request.
 pub async fn handle(entry: Arc<Entry>, req: Request) -> Response {
-    let call = match Call::read(req, &entry.cfg).await {
-        Ok(call) => call,
+    let request = match CallerRequest::read(req, &entry.cfg).await {
+        Ok(request) => request,
         Err(refusal) => {
             let id = base::new_request_id();
             let labels = entry.telemetry.labels(String::new(), "none");
             return refuse(&entry, &id, &labels, refusal);
         }
     };
-    let view = entry.force.current();
-    let row = match choose_row(&entry, &view, &call) {
+    let view = entry.active_table.current();
+    let row = match choose_row(&entry, &view, &request) {
         Ok(row) => row,
         Err(refusal) => {
-            let labels = entry.telemetry.labels(String::new(), &call.workspace);
-            return refuse(&entry, &call.id, &labels, refusal);
+            let labels = entry.telemetry.labels(String::new(), &request.workspace);
+            return refuse(&entry, &request.id, &labels, refusal);
         }
     };
-    let labels = entry.telemetry.labels(row.name(), &call.workspace);
-    let mut res = match admit(&entry, row, &call).await {
-        Ok((answer, counted)) => answer.response(&call, labels, counted, &entry.telemetry),
-        Err(refusal) => refuse(&entry, &call.id, &labels, refusal),
+    let labels = entry.telemetry.labels(row.name(), &request.workspace);
+    let mut res = match admit(&entry, row, &request).await {
+        Ok((response, permit)) => {
+            response.into_response(&request, labels, permit, &entry.telemetry)
+        }
+        Err(refusal) => refuse(&entry, &request.id, &labels, refusal),
     };
-    if entry.stopping() {
+    if entry.is_stopping() {
         web::set_header(res.headers_mut(), "connection", "close");
     }
     res
 }
 
-async fn admit(entry: &Arc<Entry>, row: &Row, call: &Call) -> Result<(Answer, Counted), Refusal> {
-    entry.retries.earn();
-    let counted = entry
+async fn admit(
+    entry: &Arc<Entry>,
+    row: &Row,
+    request: &CallerRequest,
+) -> Result<(UpstreamResponse, LimitPermit), Refusal> {
+    entry.retry_budget.deposit();
+    let permit = entry
         .limiter
-        .enter(row, &call.workspace, entry.siblings())?;
-    let answer = Dispatch::new(entry, call, row).run().await?;
-    Ok((answer, counted))
+        .acquire(row, &request.workspace, entry.entry_count())?;
+    let response = Dispatch::new(entry, request, row).run().await?;
+    Ok((response, permit))
 }
 
 /// The row a call is pinned to: permitted here, within its hold, and by share among those that
 /// an upstream has ready.
-fn choose_row<'a>(entry: &Entry, view: &'a ActiveEdition, call: &Call) -> Result<&'a Row, Refusal> {
+fn choose_row<'a>(
+    entry: &Entry,
+    view: &'a ActiveEdition,
+    request: &CallerRequest,
+) -> Result<&'a Row, Refusal> {
     let domains = &entry.cfg.upkeep.domains;
     let domain = &entry.cfg.upkeep.domain;
-    if entry.force.confirmation_age().is_none() {
+    if entry.active_table.confirmation_age().is_none() {
         return Err(Refusal::NoTable);
     }
-    let named: Vec<&Row> = view
+    let model_rows: Vec<&Row> = view
         .table
         .rows
         .iter()
-        .filter(|row| row.model == call.model)
-        .filter(|row| call.service == (row.version == table::Version::Service))
+        .filter(|row| row.model == request.model)
+        .filter(|row| request.is_service == (row.version == table::Version::Service))
         .collect();
-    if named.is_empty() {
-        return Err(Refusal::NoModel(call.model.clone()));
+    if model_rows.is_empty() {
+        return Err(Refusal::NoModel(request.model.clone()));
     }
-    let permitted: Vec<&Row> = named
+    let permitted: Vec<&Row> = model_rows
         .iter()
         .copied()
         .filter(|row| !entry.cfg.check_places || row.permits(domain, domains))
         .collect();
     if permitted.is_empty() {
-        let places: Vec<String> = named.iter().map(|row| row.places_text()).collect();
-        let (model, domain) = (call.model.clone(), domain.clone());
+        let places: Vec<String> = model_rows.iter().map(|row| row.places_text()).collect();
+        let (model, domain) = (request.model.clone(), domain.clone());
         return Err(Refusal::OutsidePlace(model, domain, places.join(";")));
     }
-    let held: Vec<&Row> = permitted
+    let within_hold: Vec<&Row> = permitted
         .into_iter()
-        .filter(|row| entry.force.may_serve(row))
+        .filter(|row| entry.active_table.may_serve(row))
         .collect();
-    if held.is_empty() {
-        return Err(Refusal::HoldLapsed(call.model.clone()));
+    if within_hold.is_empty() {
+        return Err(Refusal::HoldLapsed(request.model.clone()));
     }
-    let ready: Vec<&Row> = held
+    let ready: Vec<&Row> = within_hold
         .into_iter()
         .filter(|row| can_serve(&entry.fleet, row, &entry.cfg))
         .collect();
     entry
-        .shares
-        .next(&ready)
-        .ok_or_else(|| Refusal::NoUpstream(call.model.clone(), SOON))
+        .traffic_split
+        .next_row(&ready)
+        .ok_or_else(|| Refusal::NoUpstream(request.model.clone(), DEFAULT_RETRY_AFTER))
 }
 
-fn refuse(entry: &Entry, request: &str, labels: &Labels, refusal: Refusal) -> Response {
+fn refuse(entry: &Entry, request_id: &str, labels: &Labels, refusal: Refusal) -> Response {
     let (outcome, code) = (refusal.outcome(), refusal.code());
-    debug!(target: PART, "{PART}: request {request} ended {outcome}: {refusal}");
-    let own_fault = refusal.status() < 500;
-    entry.telemetry.ended(labels, outcome, code, own_fault);
-    refusal.response(request)
+    debug!(target: PART, "{PART}: request {request_id} ended with outcome {outcome}: {refusal}");
+    let caller_error = refusal.status() < 500;
+    entry
+        .telemetry
+        .record_completed(labels, outcome, code, caller_error);
+    refusal.response(request_id)
 }
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -9,10 +9,10 @@
 use burn::{EntryHistory, Event, History};
 
 /// Workspaces with a label of their own; all others share one.
-const MAX_WORKSPACES: usize = 200;
+const MAX_WORKSPACE_LABELS: usize = 200;
 
 /// Label of workspaces beyond that.
-const OTHER: &str = "other";
+const OTHER_WORKSPACES: &str = "other";
 
 /// Bounds that the burn is counted by.
 #[derive(Debug, Clone, Copy)]
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct Telemetry {
     bounds: BurnBounds,
-    begun: Instant,
+    started_at: Instant,
     workspaces: Mutex<Set<String>>,
     history: Mutex<History>,
 }
@@ -44,7 +44,7 @@
     pub fn new(bounds: BurnBounds) -> Telemetry {
         Telemetry {
             bounds,
-            begun: clock::now(),
+            started_at: clock::now(),
             workspaces: Mutex::default(),
             history: Mutex::default(),
         }
@@ -56,17 +56,28 @@
             .workspaces
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let named = known.contains(workspace)
-            || known.len() < MAX_WORKSPACES && known.insert(workspace.to_owned());
+        let has_label = known.contains(workspace)
+            || known.len() < MAX_WORKSPACE_LABELS && known.insert(workspace.to_owned());
         Labels {
             row,
-            workspace: if named { workspace } else { OTHER }.to_owned(),
+            workspace: if has_label {
+                workspace
+            } else {
+                OTHER_WORKSPACES
+            }
+            .to_owned(),
         }
     }
 
     /// Counts a request that came to its end. One that ended by its caller's own fault is no
     /// event of the burn.
-    pub fn ended(&self, labels: &Labels, outcome: Outcome, code: &str, own_fault: bool) {
+    pub fn record_completed(
+        &self,
+        labels: &Labels,
+        outcome: Outcome,
+        code: &str,
+        caller_error: bool,
+    ) {
         metrics::counter!(
             "driftnotch_requests_total",
             "row" => labels.row.clone(),
@@ -75,30 +86,30 @@
             "code" => code.to_owned(),
         )
         .increment(1);
-        if !own_fault {
+        if !caller_error {
             let served = outcome == Outcome::Done;
-            self.note(labels, Event::Completed { served });
+            self.record_event(labels, Event::Completed { served });
         }
     }
 
     /// Notes the time to the first token.
-    pub fn first_token(&self, labels: &Labels, after: Duration) {
+    pub fn record_first_token(&self, labels: &Labels, elapsed: Duration) {
         metrics::histogram!(
             "driftnotch_first_token_seconds",
             "row" => labels.row.clone(),
             "workspace" => labels.workspace.clone(),
         )
-        .record(after.as_secs_f64());
-        let late = after > self.bounds.first_token;
-        self.note(labels, Event::FirstToken { late });
+        .record(elapsed.as_secs_f64());
+        let late = elapsed > self.bounds.first_token;
+        self.record_event(labels, Event::FirstToken { late });
     }
 
     /// Notes the mean time between the tokens of a stream.
-    pub fn between_tokens(&self, labels: &Labels, mean: Duration) {
+    pub fn record_token_gap(&self, labels: &Labels, mean_gap: Duration) {
         metrics::histogram!("driftnotch_between_tokens_seconds", "row" => labels.row.clone())
-            .record(mean.as_secs_f64());
-        let slow = mean > self.bounds.between_tokens;
-        self.note(labels, Event::Stream { slow });
+            .record(mean_gap.as_secs_f64());
+        let slow = mean_gap > self.bounds.between_tokens;
+        self.record_event(labels, Event::Stream { slow });
     }
 
     /// The counts by the minute.
@@ -109,13 +120,13 @@
         }
     }
 
-    fn note(&self, labels: &Labels, event: Event) {
+    fn record_event(&self, labels: &Labels, event: Event) {
         self.lock()
             .record(self.minute(), &labels.row, &labels.workspace, event);
     }
 
     fn minute(&self) -> u64 {
-        clock::since(self.begun).as_secs() / 60
+        clock::since(self.started_at).as_secs() / 60
     }
 
     fn lock(&self) -> MutexGuard<'_, History> {
--- a/crates/entry/tests/decisions.rs
+++ b/crates/entry/tests/decisions.rs
@@ -7,8 +7,8 @@
 use entry::admission::Queue;
 use entry::limit::Limiter;
 use entry::refusal::Refusal;
-use entry::retry::RetryBudget;
-use entry::route::share::Shares;
+use entry::retry_budget::RetryBudget;
+use entry::route::split::TrafficSplit;
 use proptest::prelude::*;
 use table::{Row, Table};
 
@@ -35,10 +35,10 @@
     fn shares_stay_within_one_request_of_the_exact_split(first in 0u32..=100) {
         let rows = two_versions(first);
         let refs: Vec<&Row> = rows.iter().collect();
-        let shares = Shares::default();
+        let split = TrafficSplit::default();
         let mut to_first = 0u32;
         for n in 1..=1000u32 {
-            let row = shares.next(&refs).expect("a row");
+            let row = split.next_row(&refs).expect("a row");
             to_first += u32::from(row.version == rows[0].version);
             let exact = f64::from(n) * f64::from(first) / 100.0;
             prop_assert!((f64::from(to_first) - exact).abs() <= 1.0, "{to_first} of {n}, not {exact}");
@@ -50,9 +50,9 @@
         let budget = RetryBudget::new(percent);
         let (mut earned, mut spent) = (0u64, 0u64);
         for retry in requests {
-            budget.earn();
+            budget.deposit();
             earned += 1;
-            spent += u64::from(retry && budget.spend());
+            spent += u64::from(retry && budget.withdraw());
         }
         let at_rest = if percent == 0 { 0 } else { 3 };
         prop_assert!(spent <= at_rest + earned * percent / 100, "{spent} of {earned}");
@@ -63,11 +63,11 @@
 fn ten_thousand_requests_are_split_within_a_point() {
     let rows = two_versions(37);
     let refs: Vec<&Row> = rows.iter().collect();
-    let shares = Shares::default();
+    let split = TrafficSplit::default();
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..10_000 {
         *counts
-            .entry(shares.next(&refs).expect("a row").name())
+            .entry(split.next_row(&refs).expect("a row").name())
             .or_default() += 1;
     }
     assert_eq!(counts[&rows[0].name()], 3700);
@@ -77,11 +77,14 @@
 fn a_row_without_a_share_gets_nothing() {
     let rows = two_versions(0);
     let refs: Vec<&Row> = rows.iter().collect();
-    let shares = Shares::default();
+    let split = TrafficSplit::default();
     for _ in 0..100 {
-        assert_eq!(shares.next(&refs).expect("a row").version, rows[1].version);
+        assert_eq!(
+            split.next_row(&refs).expect("a row").version,
+            rows[1].version
+        );
     }
-    assert!(shares.next(&refs[..1]).is_none());
+    assert!(split.next_row(&refs[..1]).is_none());
 }
 
 #[test]
@@ -90,7 +93,7 @@
     let held = |entries: u32| {
         let limiter = Limiter::default();
         let mut held = Vec::new();
-        while let Ok(counted) = limiter.enter(&rows[0], "w", entries) {
+        while let Ok(counted) = limiter.acquire(&rows[0], "w", entries) {
             held.push(counted);
         }
         held.len()
@@ -103,14 +106,14 @@
     let rows = rows("m,service,recife,100,workspace-running=2,5,serve\n");
     let limiter = Limiter::default();
     let first: Vec<_> = (0..2)
-        .map(|_| limiter.enter(&rows[0], "large", 1).expect("within"))
+        .map(|_| limiter.acquire(&rows[0], "large", 1).expect("within"))
         .collect();
-    let over = limiter.enter(&rows[0], "large", 1).expect_err("over");
+    let over = limiter.acquire(&rows[0], "large", 1).expect_err("over");
     assert!(matches!(over, Refusal::OverLimit(..)) && over.retry_after().is_some());
-    assert!(limiter.enter(&rows[0], "small", 1).is_ok());
+    assert!(limiter.acquire(&rows[0], "small", 1).is_ok());
     drop(first);
     assert!(
-        limiter.enter(&rows[0], "large", 1).is_ok(),
+        limiter.acquire(&rows[0], "large", 1).is_ok(),
         "ended requests count no more"
     );
 }
@@ -120,11 +123,11 @@
     let rows = rows("m,service,recife,100,rps=5;workspace-rps=1,5,serve\n");
     let limiter = Limiter::default();
     for _ in 0..50 {
-        let _ = limiter.enter(&rows[0], "large", 1);
+        let _ = limiter.acquire(&rows[0], "large", 1);
     }
     for n in 0..4 {
         assert!(
-            limiter.enter(&rows[0], &format!("small{n}"), 1).is_ok(),
+            limiter.acquire(&rows[0], &format!("small{n}"), 1).is_ok(),
             "{n}"
         );
     }
@@ -136,11 +139,11 @@
     let far = Instant::now() + Duration::from_secs(60);
     let mut low = queue.enter(1, Duration::from_secs(60)).expect("a place");
     let mut high = queue.enter(9, Duration::from_secs(60)).expect("a place");
-    queue.freed();
+    queue.slot_freed();
     let woken = tokio::select! {
         biased;
-        _ = low.turn(far) => "low",
-        _ = high.turn(far) => "high",
+        _ = low.wait(far) => "low",
+        _ = high.wait(far) => "high",
     };
     assert_eq!(woken, "high");
 }
@@ -153,7 +156,7 @@
     let refused = queue.enter(1, long).expect_err("full");
     assert!(matches!(refused, Refusal::Overloaded(after) if after > Duration::ZERO));
     let high = queue.enter(5, long).expect("the lower one yields");
-    let displaced = low.turn(Instant::now() + long).await;
+    let displaced = low.wait(Instant::now() + long).await;
     assert!(
         matches!(displaced, Err(Refusal::Overloaded(_))),
         "{displaced:?}"
