--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! Admin address: metrics, health, readiness and status.
+//! Admin endpoints: metrics, health, readiness, status and burn counts.
 
 use std::sync::Arc;
 
@@ -7,66 +7,66 @@
 
 use crate::{Entry, Readiness};
 
-/// State of an entry, as `driftnotch status` reads it.
+/// Status of an entry; `driftnotch status` reads it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
     /// VM.
     pub vm: String,
     /// Failure domain.
     pub domain: String,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown is in progress.
     pub leaving: bool,
-    /// Revision in force here.
+    /// Revision in force.
     pub revision: u64,
-    /// Since when, in milliseconds.
+    /// Time since the revision came into force, in milliseconds.
     pub in_force_ms: u64,
-    /// Time since the platform's confirmation, in milliseconds.
+    /// Time since the platform last confirmed the revision, in milliseconds.
     pub age_ms: Option<u64>,
-    /// Other entries heard.
+    /// Other entries that are up.
     pub entries: Vec<String>,
     /// Upstreams of the failure domain.
     pub upstreams: Vec<UpstreamStatus>,
-    /// Upstreams known from other failure domains.
+    /// Known upstreams of other failure domains.
     pub remote: Vec<String>,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: usize,
-    /// Control bytes received and sent.
+    /// Bytes received and sent on control links.
     pub control_bytes: (u64, u64),
 }
 
-/// State of an upstream as an entry sees it.
+/// Status of an upstream as seen by an entry.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct UpstreamStatus {
     /// VM.
     pub vm: String,
-    /// Where its agent takes requests.
+    /// Address at which its agent accepts requests.
     pub listen: String,
-    /// Revision its agent serves by.
+    /// Revision in force at its agent.
     pub revision: u64,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// Whether it is left alone after failures.
+    /// Whether it is ejected after failures.
     pub ejected: bool,
-    /// Requests of this entry running there.
+    /// Requests of this entry that it is running.
     pub running: u32,
-    /// Versions.
+    /// Versions it fetches, holds or has live.
     pub holdings: Vec<HoldingStatus>,
 }
 
-/// State of a version at an upstream.
+/// Status of a version at an upstream.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HoldingStatus {
     /// Model.
     pub model: String,
     /// Version.
     pub version: String,
-    /// Whether requests are sent for it.
+    /// Whether it accepts requests.
     pub live: bool,
-    /// Chunks verified, in thousandths.
+    /// Verified chunks, in thousandths.
     pub permille: u16,
 }
 
-/// Answers on the admin address; `metrics` renders the metrics.
+/// Handles a request to the admin address; `metrics` renders the metrics.
 pub async fn handle(
     entry: Arc<Entry>,
     req: Request,
@@ -78,11 +78,14 @@
         "/metrics" => web::text(200, metrics()),
         "/status" => web::json(
             200,
-            serde_json::to_string(&status(&entry)).expect("plain data"),
+            serde_json::to_string(&status(&entry)).expect("the status is plain data"),
         ),
         "/burn" => {
             let history = entry.telemetry.history(&entry.cfg.upkeep.domain);
-            web::json(200, serde_json::to_string(&history).expect("plain data"))
+            web::json(
+                200,
+                serde_json::to_string(&history).expect("the history is plain data"),
+            )
         }
         _ => web::text(404, "use /health, /ready, /metrics, /status or /burn\n"),
     }
@@ -98,7 +101,7 @@
 }
 
 fn status(entry: &Entry) -> Status {
-    let view = entry.active_table.current();
+    let active = entry.active_table.current();
     let upkeep = &entry.cfg.upkeep;
     let mut upstreams: Vec<UpstreamStatus> = entry
         .fleet
@@ -120,8 +123,8 @@
         vm: upkeep.vm.clone(),
         domain: upkeep.domain.clone(),
         leaving: entry.is_stopping(),
-        revision: view.edition.revision,
-        in_force_ms: clock::since(view.since).as_millis() as u64,
+        revision: active.edition.revision,
+        in_force_ms: clock::since(active.since).as_millis() as u64,
         age_ms: entry
             .active_table
             .confirmation_age()
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,7 +1,7 @@
-//! Requests waiting for a free slot at an upstream.
+//! Admission queue: requests that wait for a free slot at an upstream.
 //!
-//! The queue is bounded and ordered by priority, then arrival. A request that cannot be served
-//! within its deadline, judged by how fast slots have been freed, is refused before it waits.
+//! The queue is bounded and ordered by priority, then by arrival. A request whose estimated wait,
+//! derived from the rate at which slots are freed, exceeds its deadline is refused immediately.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,13 +12,13 @@
 
 use crate::refusal::Refusal;
 
-/// A waiting request looks again after this long even if nobody wakes it.
+/// Time after which a queued request looks for a slot even if it isn't woken.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Weight of the newest gap between two freed slots in the running mean.
+/// Weight of the latest gap between two freed slots in the moving average.
 const GAP_WEIGHT: f64 = 0.1;
 
-/// Longest time a caller is told to come back after.
+/// Longest `retry-after` of a refusal.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 type QueueKey = (Reverse<u8>, u64);
@@ -31,14 +31,14 @@
     mean_gap: f64,
 }
 
-/// The queue.
+/// Bounded priority queue of requests.
 #[derive(Debug)]
 pub struct Queue {
     limit: usize,
     state: Mutex<State>,
 }
 
-/// A request's place in the queue, given up when dropped.
+/// Entry of a request in the queue; removed when dropped.
 #[derive(Debug)]
 pub struct Ticket<'a> {
     queue: &'a Queue,
@@ -47,7 +47,7 @@
 }
 
 impl Queue {
-    /// A queue of at most `limit` requests.
+    /// Creates a queue of at most `limit` requests.
     pub fn new(limit: usize) -> Queue {
         Queue {
             limit,
@@ -59,7 +59,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a place, or refuses at once.
+    /// Queues a request, or refuses it immediately.
     pub fn enter(&self, priority: u8, remaining: Duration) -> Result<Ticket<'_>, Refusal> {
         let mut state = self.state();
         let wait = state.estimated_wait(state.queued.len());
@@ -71,7 +71,7 @@
             return Err(Refusal::NoTime(wait.min(MAX_RETRY_AFTER)));
         }
         if state.queued.len() >= self.limit {
-            // Dropping its sender tells the last in line that it was displaced.
+            // Dropping its sender notifies the last queued request that it was displaced.
             state.queued.pop_last();
         }
         let key = (Reverse(priority), state.next_sequence);
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Notes a freed slot and wakes the first in line.
+    /// Records a freed slot and wakes the first queued request.
     pub fn slot_freed(&self) {
         let mut state = self.state();
         let now = clock::now();
@@ -98,17 +98,17 @@
         }
     }
 
-    /// Requests waiting.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.state().queued.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Time to come back after, by the state of the queue.
+    /// Returns the time after which a caller may retry, by the estimated wait.
     pub fn retry_after(&self) -> Duration {
         self.state().retry_after()
     }
@@ -136,7 +136,7 @@
 }
 
 impl Ticket<'_> {
-    /// Waits until it is worth looking for a slot; refuses a request that was displaced.
+    /// Waits until a slot may be free; refuses a request that was displaced.
     pub async fn wait(&mut self, deadline: Instant) -> Result<(), Refusal> {
         let recheck_at = (clock::now() + RECHECK_INTERVAL).min(deadline);
         tokio::select! {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Takes the old place again, in case the freed slot was of no use.
+    /// Queues the request again at its old position, in case the freed slot is unusable for it.
     fn requeue(&mut self) {
         let (tx, wake) = oneshot::channel();
         self.queue.state().queued.insert(self.key, tx);
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,10 +1,10 @@
-//! Claims on idempotency keys, in the platform's table.
+//! Claims on idempotency keys, stored in the platform's table.
 //!
-//! A claim is a value written only if there is none under its key; the platform's table decides
-//! who is first, so no entry needs to know of another. Claims made within a short interval go out
-//! in one transaction. One entry of the failure domain, the claimer, writes for all: that saves
-//! writes and nothing else, so it doesn't matter if two take themselves for the claimer.
-//! docs/DESIGN.md weighs this against other ways.
+//! A claim is a value that is written only if its key is absent. The platform's table decides which
+//! claim is first, so entries need no coordination. Claims made within a short interval are batched
+//! into one transaction. One entry of the failure domain, the claim writer, writes the claims of
+//! all; this only reduces the number of writes, so it is harmless if two entries act as the writer.
+//! docs/DESIGN.md compares this with alternatives.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,41 +17,41 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use wire::{Claim, ClaimOutcome};
 
-/// Claims that may wait to be written; more are refused.
+/// Maximum length of a claim queue; further claims are refused.
 const MAX_QUEUED: usize = 4096;
 
-/// Transactions on their way at once.
+/// Maximum number of concurrent batch writes of a queue.
 const MAX_CONCURRENT_WRITES: usize = 8;
 
-/// What is written under a key: which request holds it, and where that request was sent.
+/// Stored value of a claim: the request that holds the key, and where it was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// Request.
+    /// Request id.
     pub request: RequestId,
     /// Digest of the request's content.
     pub content: Digest,
-    /// Upstream VM it was sent to.
+    /// Upstream VM that it was sent to.
     pub vm: VmId,
-    /// Where that VM's agent takes requests.
+    /// Address at which the VM's agent accepts requests.
     pub listen: SocketAddr,
-    /// Incarnation of that agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Failure domain of that VM.
+    /// Failure domain of the VM.
     pub domain: DomainName,
-    /// Whether the request is known not to have run and not to be sent any more.
+    /// Whether the request is known not to have run and won't be sent any more.
     pub released: bool,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Applied,
-    /// Another claim stands.
+    /// Another claim holds the key.
     Conflict,
-    /// It may have taken effect.
+    /// The write may have taken effect.
     Unknown,
-    /// It did not take effect.
+    /// The write did not take effect.
     Failed,
 }
 
@@ -61,18 +61,18 @@
     tx: oneshot::Sender<ClaimOutcome>,
 }
 
-/// How claims are gathered.
+/// Batching of claims.
 #[derive(Debug, Clone, Copy)]
 pub struct Batching {
-    /// Time over which claims are gathered.
+    /// Time over which claims are batched.
     pub interval: Duration,
-    /// Claims in one write.
+    /// Maximum number of claims in one write.
     pub max_batch: usize,
-    /// Time a claim is kept.
+    /// Time for which a claim is retained.
     pub retention: Duration,
 }
 
-/// Writer and reader of claims.
+/// Reader and batching writer of claims.
 #[derive(Debug, Clone)]
 pub struct Claims {
     kv: Kv,
@@ -81,15 +81,15 @@
     write_queue: mpsc::Sender<PendingClaim>,
 }
 
-/// Key of a workspace's idempotency key.
+/// Returns the table key for an idempotency key of a workspace.
 pub fn claim_key(workspace: &str, key: &str) -> String {
     let digest = Digest::of(format!("{workspace}\0{key}").as_bytes());
     format!("claim/{digest}")
 }
 
 impl Claims {
-    /// Starts the writer. `claimer` names the entry that writes for this one, or `None` where this
-    /// one does; `forward` hands claims to it.
+    /// Starts the queues. `claim_writer` returns the entry that writes for this one, or `None` if
+    /// this entry writes its own; `forward` sends claims to that entry.
     pub fn start<C, W, F>(kv: Kv, batching: Batching, claim_writer: C, forward: W) -> Claims
     where
         C: Fn() -> Option<SocketAddr> + Send + Sync + 'static,
@@ -123,9 +123,9 @@
         claims
     }
 
-    /// Claims a key for a record.
+    /// Claims a key with a record.
     pub async fn claim(&self, key: String, record: &ClaimRecord) -> WriteOutcome {
-        let value = serde_json::to_string(record).expect("plain data");
+        let value = serde_json::to_string(record).expect("a claim record is plain data");
         let ttl = self.batching.retention;
         let claimed = enqueue(&self.forward_queue, Claim { key, value, ttl }).await;
         match claimed {
@@ -136,15 +136,15 @@
         }
     }
 
-    /// Takes in claims, of this entry or another, and writes them with what else has gathered.
+    /// Queues claims, of this entry or another, for the next batches and waits for their outcomes.
     pub async fn write_batched(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
         let written = claims.into_iter().map(|c| enqueue(&self.write_queue, c));
         join_all(written).await
     }
 
-    /// Replaces a record that still has the tag.
+    /// Replaces a record if it still has the tag.
     pub async fn replace(&self, key: &str, tag: Tag, record: &ClaimRecord) -> WriteOutcome {
-        let value = serde_json::to_string(record).expect("plain data");
+        let value = serde_json::to_string(record).expect("a claim record is plain data");
         let claim = Claim {
             key: key.to_owned(),
             value,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The record under a key, with its tag.
+    /// Returns the record under a key, with its tag.
     pub async fn read(&self, key: &str) -> Result<Option<(ClaimRecord, Tag)>, PlatformError> {
         match self.kv.get(&format!("/kv/{key}"), None).await? {
             ReadResult::Value(buf, tag) => serde_json::from_slice(&buf)
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Writes claims in one transaction; claims whose key is taken are left out and told so.
+    /// Writes claims in one transaction, without those whose key is already taken.
     pub async fn commit(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
         let mut results = vec![ClaimOutcome::Taken; claims.len()];
         let mut remaining: Vec<usize> = first_of_each_key(&claims);
@@ -197,7 +197,7 @@
     }
 }
 
-/// Indices of the first claim on each key; later ones in the same batch come too late.
+/// Returns the indices of the first claim on each key; later ones in the same batch lose.
 fn first_of_each_key(claims: &[Claim]) -> Vec<usize> {
     let mut seen: Set<&str> = Set::default();
     (0..claims.len())
@@ -214,7 +214,7 @@
     }
 }
 
-/// Puts a claim in line and waits for what becomes of it.
+/// Queues a claim and waits for its outcome.
 async fn enqueue(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> ClaimOutcome {
     let (tx, rx) = oneshot::channel();
     match queue.try_send(PendingClaim { claim, tx }) {
@@ -223,8 +223,10 @@
     }
 }
 
-/// Gathers claims for half the interval and writes each batch on a task of its own; a claim
-/// passes two such lines, that of its entry and that of the claimer.
+/// Batches claims and writes each batch in its own task.
+///
+/// A batch collects for half the interval, because a claim passes through two such queues: its
+/// entry's and the claim writer's.
 async fn batch_claims<W, F>(mut rx: mpsc::Receiver<PendingClaim>, batching: Batching, write: W)
 where
     W: Fn(Vec<Claim>) -> F,
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,14 +1,15 @@
-//! The entry: takes callers' requests and sends them to upstreams in permitted places.
+//! Entry: accepts callers' requests and forwards each to an upstream in a permitted place.
 //!
-//! A request's way, file by file: [`call`] reads it, [`serve`] finds its row, [`limit`] counts it,
-//! [`route::dispatch`] takes it to an upstream that [`route::pick`] chooses, waiting for its
-//! [`admission`] where all are busy, [`route::attempt`] sends it, [`answer`] brings the answer
-//! back, and [`refusal`] says what became of a request without one. [`claim`] keeps unsafe
-//! requests from running twice.
+//! A request passes through these modules: [`request`] parses it, [`serve`] selects its row of the
+//! table, [`limit`] applies the rate limits, [`route::dispatch`] drives its attempts at upstreams
+//! that [`route::balance`] chooses, [`admission`] queues it while all upstreams are busy,
+//! [`route::attempt`] sends it, and [`response`] relays the response. [`refusal`] builds the
+//! response to a request that got none from an upstream. [`claim`] prevents unsafe requests from
+//! running twice.
 //!
-//! Beside that, [`poll`] reads the platform, [`membership::control`] answers agents and other
-//! entries, and [`membership::links`] keeps links to other entries. [`membership::fleet`] is what
-//! they learn.
+//! In the background, [`poll`] reads from the platform, [`membership::control`] serves agents and
+//! other entries, and [`membership::links`] maintains links to other entries. All three update
+//! [`membership::fleet`], the table of known upstreams and entries.
 
 #![deny(clippy::disallowed_methods)]
 
@@ -37,72 +38,72 @@
 use table::ActiveTable;
 use wire::counted::Traffic;
 
-/// Bytes that one heartbeat with its answer costs on the link, acknowledgements included.
+/// Bytes of a heartbeat and its reply on the link, including acknowledgements.
 ///
-/// Measured by `driftnotch-lab control`; docs/CAPACITY.md has the figures.
+/// docs/CAPACITY.md lists the figures that `driftnotch-lab control` prints.
 const HEARTBEAT_BYTES: u64 = 600;
 
-/// Time in which all agents of the failure domain have tried to join a new entry.
+/// Time within which every agent of the failure domain has tried to join a new entry.
 const JOIN_WINDOW: Duration = Duration::from_secs(4);
 
-/// Whether an entry can send requests on.
+/// Readiness of an entry to forward requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It can.
+    /// Requests can be forwarded.
     Ready,
-    /// A planned stop has begun.
+    /// A graceful shutdown is in progress.
     Stopping,
-    /// It has no table as yet.
+    /// No table has been received.
     NoTable,
-    /// No agent has told it of a live version as yet.
+    /// No agent has reported a live version.
     NoAgents,
 }
 
-/// An entry.
+/// State shared by all parts of an entry.
 #[derive(Debug)]
 pub struct Entry {
     /// Settings.
     pub cfg: EntryCfg,
-    /// The edition it serves by.
+    /// Edition of the table in force.
     pub active_table: Arc<ActiveTable>,
-    /// Upstreams and entries it knows.
+    /// Known upstreams and entries.
     pub fleet: membership::fleet::Fleet,
-    /// Limits.
+    /// Rate and concurrency limits of rows and workspaces.
     pub limiter: limit::Limiter,
-    /// Requests that wait for a slot.
+    /// Requests queued for a free slot.
     pub queue: admission::Queue,
     /// Retry budget.
     pub retry_budget: retry_budget::RetryBudget,
-    /// Split of traffic over versions.
+    /// Traffic split between the versions of a model.
     pub traffic_split: route::split::TrafficSplit,
     /// Claims on idempotency keys.
     pub claims: claim::Claims,
-    /// Client towards agents.
+    /// HTTP client for requests to agents.
     pub client: web::Client,
     /// Metrics.
     pub telemetry: Arc<telemetry::Telemetry>,
-    /// Bytes of control links.
+    /// Byte counts of the control links.
     pub control_traffic: Traffic,
-    /// Addresses of entries to link to.
+    /// Known control addresses of other entries.
     pub address_book: membership::links::AddressBook,
-    /// When it started.
+    /// Start time.
     pub started_at: Instant,
     stopping: AtomicBool,
 }
 
 impl Entry {
-    /// Whether a planned stop has begun.
+    /// Returns whether a graceful shutdown is in progress.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Whether requests can be sent on. An entry that just started can not, until an agent has
-    /// told it of a live version, or all have had the time to.
+    /// Returns whether requests can be forwarded. A newly started entry isn't ready until an agent
+    /// has reported a live version, or every agent has had the time to join.
     pub fn readiness(&self) -> Readiness {
         let any_live = || {
             let local = self.fleet.local();
@@ -119,20 +120,20 @@
         }
     }
 
-    /// Time between two heartbeats of an agent: longer the more agents have joined here, so that
-    /// all of them together stay within half of the control budget.
+    /// Returns the heartbeat interval of agents. It grows with the number of joined agents, to keep
+    /// the heartbeats of all of them within half of the control budget.
     pub fn heartbeat_interval(&self) -> Duration {
         let agents = self.fleet.joined() as u64;
         let cost = Duration::from_millis(agents * HEARTBEAT_BYTES * 2000 / self.cfg.control_budget);
         cost.max(self.cfg.heartbeat)
     }
 
-    /// Time an agent may be silent before it gets no new requests.
+    /// Returns how long an agent may miss heartbeats before it gets no new requests.
     pub fn lease(&self) -> Duration {
         self.heartbeat_interval() * self.cfg.lease_beats as u32
     }
 
-    /// Entries of this failure domain that are up, this one included.
+    /// Returns the number of entries of this failure domain that are up, including this one.
     pub fn entry_count(&self) -> u32 {
         self.fleet.siblings().len() as u32 + 1
     }
--- a/crates/entry/src/limit.rs
+++ b/crates/entry/src/limit.rs
@@ -1,8 +1,9 @@
-//! Limits of rows and workspaces.
+//! Limits on the request rate and on running requests, by row and by workspace.
 //!
-//! A limit holds for a whole failure domain. Each of its entries enforces its part, the limit
-//! divided by the number of entries that are up, so no coordinator is needed; the part follows
-//! entries that come and go. The last part is rounded up, so a small limit is never nought.
+//! A limit applies to a whole failure domain. Each entry enforces an equal part of it, the limit
+//! divided by the number of entries that are up, so no coordinator is needed; the part changes as
+//! entries join and leave. A part of a limit on running requests is rounded up, so that a small
+//! limit never becomes zero.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,13 +13,13 @@
 
 use crate::refusal::Refusal;
 
-/// Burst of a rate limit: what may come at once, as time's worth of it.
+/// Burst of a rate limit, as the time in which the rate allows as many requests.
 const BURST: Duration = Duration::from_secs(1);
 
-/// Idle counters are dropped after this long.
+/// Time after which an idle counter is removed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What is limited.
+/// Scope of a limit: a row, or a workspace within a row.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum LimitScope {
     Row(String),
@@ -32,13 +33,13 @@
     running: u32,
 }
 
-/// Counters of all subjects.
+/// Counters of all scopes.
 #[derive(Debug, Clone, Default)]
 pub struct Limiter {
     counters: Arc<Mutex<Map<LimitScope, Counter>>>,
 }
 
-/// A request counted as running; uncounted when dropped.
+/// Permit of a running request; ends its count when dropped.
 #[derive(Debug)]
 pub struct LimitPermit {
     limiter: Limiter,
@@ -57,7 +58,7 @@
 }
 
 impl Limiter {
-    /// Counts a request in, or refuses it with the time to come back after.
+    /// Counts a request as running, or refuses it with the time after which it may be retried.
     pub fn acquire(
         &self,
         row: &Row,
@@ -103,7 +104,7 @@
         })
     }
 
-    /// Drops counters that have been idle.
+    /// Removes idle counters.
     pub fn remove_idle(&self) {
         self.lock()
             .retain(|_, c| c.running > 0 || clock::since(c.refilled_at) < IDLE_TIMEOUT);
--- a/crates/entry/src/membership/control.rs
+++ b/crates/entry/src/membership/control.rs
@@ -1,4 +1,4 @@
-//! Answers agents and other entries on control links.
+//! Server side of the control links: requests of agents and other entries.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,17 +18,19 @@
 use crate::membership::links::{self, apply_patch};
 use crate::membership::upstream::Upstream;
 
-/// Log prefix of this part.
+/// Log prefix of this module.
 const PART: &str = "control";
 
-/// Editions that may be pushed over a link at once, and time after which one more may.
+/// Burst of editions that may be pushed over a link.
 const PUSH_BURST: f64 = 20.0;
+
+/// Time after which one more edition may be pushed over a link.
 const PUSH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Entries named to another process at once.
+/// Maximum number of entry addresses in an update.
 const MAX_SAMPLED_ENTRIES: usize = 4;
 
-/// Accepts links for as long as the process runs; call within a `LocalSet`.
+/// Accepts links for as long as the process runs. Must run in a `LocalSet`.
 pub async fn listen(entry: Arc<Entry>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
@@ -41,7 +43,7 @@
         let traffic = entry.control_traffic.clone();
         tokio::task::spawn_local(async move {
             if let Err(e) = wire::accept(stream, server, &traffic).await {
-                debug!(target: PART, "{PART}: link from {from} ended: {e}");
+                debug!(target: PART, "{PART}: link from {from} closed: {e}");
             }
         });
     }
@@ -132,15 +134,15 @@
     }
 }
 
-/// An agent's seat; the agent is forgotten when its link ends.
+/// Session of an agent; closes the agent's link in the fleet when dropped.
 struct SessionServer {
     entry: Arc<Entry>,
     upstream: Arc<Upstream>,
     push_limiter: RefCell<PushLimiter>,
 }
 
-/// Editions sent over one link of late. A burst of edits is gathered once the allowance is used up,
-/// so that it costs a link one push in a while and not one for each edit.
+/// Token bucket for the editions pushed over one link. Once it is empty, a burst of edits is
+/// coalesced: the link carries one push per interval rather than one per edit.
 struct PushLimiter {
     tokens: f64,
     refilled_at: Instant,
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Takes one push; how long to wait before it.
+    /// Takes a token and returns how long to wait before the push.
     fn reserve(&mut self) -> Duration {
         let earned = clock::since(self.refilled_at).as_secs_f64() / PUSH_INTERVAL.as_secs_f64();
         self.refilled_at = clock::now();
@@ -165,7 +167,7 @@
 
 impl Drop for SessionServer {
     fn drop(&mut self) {
-        info!(target: PART, "{PART}: agent {} parted", self.upstream.vm());
+        info!(target: PART, "{PART}: agent {} left", self.upstream.vm());
         self.entry.fleet.link_closed(&self.upstream);
     }
 }
@@ -234,17 +236,18 @@
     }
 }
 
-/// Waits for an edition later than the one the other side has.
+/// Waits for an edition newer than the peer's and returns the patch to it.
 async fn wait_for_newer(entry: &Entry, have: Revision) -> Result<Patch, Error> {
-    let mut views = entry.active_table.subscribe();
-    views
-        .wait_for(|view| view.edition.revision > have)
+    let mut edition_rx = entry.active_table.subscribe();
+    edition_rx
+        .wait_for(|active| active.edition.revision > have)
         .await
         .map_err(|e| Error::failed(e.to_string()))?;
     Ok(entry.active_table.patch_from(have))
 }
 
-/// What this entry serves by. An unconfirmed one has an age that no hold allows.
+/// Returns the revision in force and the age of its confirmation. The age of an unconfirmed revision
+/// exceeds every hold.
 fn freshness(entry: &Entry) -> Freshness {
     Freshness {
         revision: entry.active_table.revision(),
@@ -255,7 +258,8 @@
     }
 }
 
-/// What this entry tells an entry of a failure domain; `None` where it isn't known yet which.
+/// Builds the update for the entry at `addr` in the failure domain `to`. Without an address, the
+/// peer isn't known yet, and the update has no lists.
 pub fn own_update(entry: &Entry, to: &str, addr: Option<SocketAddr>) -> EntryUpdate {
     let upkeep = &entry.cfg.upkeep;
     let fleet = &entry.fleet;
@@ -278,7 +282,7 @@
     }
 }
 
-/// The list if it is wanted, else none.
+/// Returns the list if it is included, else an empty one.
 fn list_if<T>(included: bool, list: impl Fn() -> Vec<T>) -> Vec<T> {
     match included {
         true => list(),
--- a/crates/entry/src/membership/fleet.rs
+++ b/crates/entry/src/membership/fleet.rs
@@ -1,11 +1,11 @@
-//! Upstreams and entries this entry knows.
+//! Table of known upstreams and entries.
 //!
-//! An agent joins two entries of its failure domain, not all; those tell their siblings of it in
-//! notes, so that every entry of the domain can route to every upstream of it while an agent's
-//! heartbeats cost two links whatever the number of entries. Other domains are told a bounded
-//! sample of live replicas. What the receiver of a note has already is left out: every list has a
-//! state that grows when it changes. The platform's list lags and is used only to find entries and
-//! as one of three ways to learn that a VM is leaving.
+//! An agent joins only two entries of its failure domain; these report it to their siblings in
+//! updates. Every entry of the domain can route to every upstream of it, while the heartbeats of an
+//! agent use two links regardless of the number of entries. Entries of other domains receive a
+//! bounded sample of live replicas. Lists that the receiver of an update already has are omitted:
+//! each list has a state number that grows with every change. The platform's list of VMs lags; it
+//! is used only to find entries and as one of three ways to learn that a VM is draining.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,28 +19,28 @@
 
 use crate::membership::upstream::Upstream;
 
-/// Live replicas of one version a domain tells others of.
+/// Maximum number of live replicas of a version in an update to another domain.
 const MAX_REPLICAS: usize = 8;
 
-/// Agents of one rollout a domain tells others of.
+/// Maximum number of agents of a rollout in an update to another domain.
 const MAX_ROLLOUT_PEERS: usize = 512;
 
-/// How long an entry that says nothing is still counted, at least.
+/// Minimum lease of an entry: the time for which it counts as up without an update.
 const MIN_ENTRY_LEASE: Duration = Duration::from_secs(10);
 
-/// Exchanges of notes that an entry may miss.
-const MAX_MISSED_EXCHANGES: u32 = 3;
+/// Lease of an entry, in exchange intervals; it may miss fewer exchanges than that.
+const LEASE_EXCHANGES: u32 = 3;
 
-/// Another entry, as its notes told.
+/// Another entry, by its updates.
 #[derive(Debug, Clone)]
 pub struct PeerEntry {
-    /// Last note, without its lists.
+    /// Last update, without its lists.
     pub update: EntryUpdate,
-    /// Rollouts of its domain, as last told.
+    /// Last received rollouts of its domain.
     pub rollouts: Vec<Rollout>,
-    /// State of its lists that was last taken.
+    /// State number of the last applied lists.
     pub applied_state: u64,
-    /// When it was last heard.
+    /// Time of the last update.
     last_seen: Instant,
     lease: Duration,
 }
@@ -51,7 +51,8 @@
     }
 }
 
-/// An upstream of the own domain: how many links its agent keeps here, and which entries tell of it.
+/// Upstream of the own domain, with the number of links of its agent to this entry and the entries
+/// that report it.
 #[derive(Debug)]
 struct LocalUpstream {
     upstream: Arc<Upstream>,
@@ -59,7 +60,7 @@
     reported_by: Set<SocketAddr>,
 }
 
-/// Upstreams and entries.
+/// Known upstreams and entries.
 #[derive(Debug)]
 pub struct Fleet {
     domain: DomainName,
@@ -73,9 +74,9 @@
 }
 
 impl Fleet {
-    /// A fleet of nobody, seen from a failure domain.
+    /// Creates an empty fleet, as seen from a failure domain.
     pub fn new(domain: DomainName) -> Fleet {
-        // States of a later process on the same address are larger.
+        // A later process on the same address starts with larger state numbers.
         let first_state = unix_ms() * 1000;
         Fleet {
             domain,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Takes in an agent of the own domain; an older incarnation of it is forgotten.
+    /// Adds an agent of the own domain; replaces a stale incarnation of it.
     pub fn join(&self, info: AgentInfo, lease: Duration) -> Arc<Upstream> {
         let mut all = write(&self.local);
         let known = all
@@ -103,7 +104,7 @@
         upstream
     }
 
-    /// Notes that a link of an agent ended; forgets the agent if nobody else tells of it.
+    /// Records that a link of an agent closed; removes the agent if no other entry reports it.
     pub fn link_closed(&self, upstream: &Arc<Upstream>) {
         let mut all = write(&self.local);
         let mut reporters = Set::default();
@@ -113,9 +114,9 @@
             known.links = known.links.saturating_sub(1);
             reporters.clone_from(&known.reported_by);
         }
-        all.retain(|_, known| known.is_known());
+        all.retain(|_, known| known.has_source());
         drop(all);
-        // What they told while the agent itself was heard was not taken: have it told again.
+        // Their reports were ignored while the agent was linked here: request them again.
         let mut entries = write(&self.entries);
         let to_resend = entries
             .iter_mut()
@@ -125,7 +126,7 @@
         self.joined_changed();
     }
 
-    /// Takes a heartbeat of an agent that joined here.
+    /// Applies a heartbeat of an agent that joined this entry.
     pub fn apply_heartbeat(&self, upstream: &Upstream, heartbeat: Heartbeat, lease: Duration) {
         if upstream.apply_heartbeat(heartbeat, lease) {
             self.joined_changed();
@@ -141,17 +142,17 @@
         self.domain_state.send_modify(|n| *n += 1);
     }
 
-    /// Follows changes of what is told to entries of the own domain.
+    /// Subscribes to changes of the lists for entries of the own domain.
     pub fn watch_joined(&self) -> watch::Receiver<u64> {
         self.joined_state.subscribe()
     }
 
-    /// Follows changes of what is told to entries of other domains.
+    /// Subscribes to changes of the lists for entries of other domains.
     pub fn watch_domain(&self) -> watch::Receiver<u64> {
         self.domain_state.subscribe()
     }
 
-    /// State of what an entry of a domain is told.
+    /// Returns the state number of the lists for entries of a domain.
     pub fn state(&self, to: &str) -> u64 {
         match to == self.domain {
             true => *self.joined_state.borrow(),
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Upstreams of the own domain.
+    /// Returns the upstreams of the own domain.
     pub fn local(&self) -> Vec<Arc<Upstream>> {
         read(&self.local)
             .values()
@@ -167,34 +168,34 @@
             .collect()
     }
 
-    /// Number of agents that have joined here.
+    /// Returns the number of agents that have joined this entry.
     pub fn joined(&self) -> usize {
         read(&self.local).values().filter(|k| k.links > 0).count()
     }
 
-    /// Upstreams known from other domains.
+    /// Returns the known upstreams of other domains.
     pub fn remote(&self) -> Vec<Arc<Upstream>> {
         read(&self.remote).values().cloned().collect()
     }
 
-    /// Takes the platform's list of leaving VMs.
+    /// Sets the VMs that the platform lists as draining.
     pub fn set_listed_draining(&self, vms: Set<VmId>) {
         *write(&self.listed_draining) = vms;
     }
 
-    /// Whether the platform lists a VM as leaving.
+    /// Returns whether the platform lists a VM as draining.
     pub fn is_listed_draining(&self, vm: &str) -> bool {
         read(&self.listed_draining).contains(vm)
     }
 
-    /// Takes a note of another entry; `interval` is the time between two of them.
+    /// Applies an update of another entry; `interval` is the time between two updates.
     pub fn apply_update(&self, mut update: EntryUpdate, lease: Duration, interval: Duration) {
         let from = update.control;
         let has_lists = update.has_lists;
         let agents = std::mem::take(&mut update.agents);
         let replicas = std::mem::take(&mut update.replicas);
         let rollouts = std::mem::take(&mut update.rollouts);
-        let entry_lease = MIN_ENTRY_LEASE.max(interval * MAX_MISSED_EXCHANGES);
+        let entry_lease = MIN_ENTRY_LEASE.max(interval * LEASE_EXCHANGES);
         match update.domain == self.domain {
             true if has_lists => self.apply_agents(from, agents, lease.max(entry_lease)),
             true => self.renew_agents(from, lease.max(entry_lease)),
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Takes the agents that have joined a sibling.
+    /// Applies a sibling's list of the agents that have joined it.
     fn apply_agents(&self, from: SocketAddr, agents: Vec<AgentStatus>, lease: Duration) {
         let mut all = write(&self.local);
         for known in all.values_mut() {
@@ -243,7 +244,7 @@
                 known.apply_report(agent.beat, lease);
             }
         }
-        all.retain(|_, known| known.is_known());
+        all.retain(|_, known| known.has_source());
         drop(all);
         self.domain_changed();
     }
@@ -254,7 +255,7 @@
         reported.for_each(|known| known.upstream.renew_lease(lease));
     }
 
-    /// Forgets what entries that are no longer heard have told.
+    /// Removes entries that are no longer up, and the agents that only they reported.
     pub fn expire(&self) {
         let mut entries = write(&self.entries);
         let expired: Vec<SocketAddr> = entries
@@ -271,7 +272,7 @@
         for known in all.values_mut() {
             known.reported_by.retain(|addr| !expired.contains(addr));
         }
-        all.retain(|_, known| known.is_known());
+        all.retain(|_, known| known.has_source());
     }
 
     fn apply_replicas(&self, domain: &str, replicas: Vec<Replica>, lease: Duration) {
@@ -297,39 +298,39 @@
         in_domain.for_each(|u| u.renew_lease(lease));
     }
 
-    /// Other entries that are up.
+    /// Returns the other entries that are up.
     pub fn entries(&self) -> Vec<PeerEntry> {
         let entries = read(&self.entries);
         entries.values().filter(|e| e.is_alive()).cloned().collect()
     }
 
-    /// State of another entry's lists that was last taken; 0 where none was.
+    /// Returns the state number of another entry's lists that were last applied; 0 if none were.
     pub fn applied_state(&self, from: SocketAddr) -> u64 {
         read(&self.entries)
             .get(&from)
             .map_or(0, |e| e.applied_state)
     }
 
-    /// State of the own lists that another entry last took; 0 where it took none.
+    /// Returns the state number of the own lists that another entry last applied; 0 if none.
     pub fn acknowledged_state(&self, addr: SocketAddr) -> u64 {
         read(&self.entries)
             .get(&addr)
             .map_or(0, |e| e.update.applied_state)
     }
 
-    /// Other entries of the own domain that are up.
+    /// Returns the other entries of the own domain that are up.
     pub fn siblings(&self) -> Vec<PeerEntry> {
         let mut entries = self.entries();
         entries.retain(|e| e.update.domain == self.domain);
         entries
     }
 
-    /// Number that changes whenever an entry is learnt of.
+    /// Returns a number that grows whenever an entry is discovered.
     pub fn entries_seen(&self) -> u64 {
         self.entries_seen.load(Ordering::Relaxed)
     }
 
-    /// Agents that have joined here.
+    /// Returns the agents that have joined this entry.
     pub fn joined_agents(&self) -> Vec<AgentStatus> {
         let all = read(&self.local);
         let joined = all.values().filter(|known| known.links > 0);
@@ -341,7 +342,7 @@
             .collect()
     }
 
-    /// A bounded sample of the domain's live replicas.
+    /// Returns a bounded sample of the domain's live replicas.
     pub fn live_replicas(&self) -> Vec<Replica> {
         let mut counts: Map<(String, Version), usize> = Map::default();
         let mut replicas = Vec::new();
@@ -370,7 +371,7 @@
         replicas
     }
 
-    /// The domain's rollouts: who fetches or holds which version.
+    /// Returns the domain's rollouts: the agents that fetch or hold each version.
     pub fn rollouts(&self) -> Vec<Rollout> {
         let mut rollouts: Map<Version, Vec<Peer>> = Map::default();
         for upstream in self.local() {
@@ -389,7 +390,7 @@
             .collect()
     }
 
-    /// Agents anywhere that fetch or hold a version.
+    /// Returns the agents of all domains that fetch or hold a version.
     pub fn peers(&self, version: &Version) -> Vec<Peer> {
         let local = self.local();
         let has_version = |u: &&Arc<Upstream>| u.holdings().iter().any(|h| h.version == *version);
@@ -417,14 +418,15 @@
         }
     }
 
-    /// Starts over with a later incarnation of the agent.
+    /// Replaces the upstream if the agent has a newer incarnation.
     fn replace_if_newer(&mut self, info: &AgentInfo, lease: Duration) {
         if info.incarnation > self.upstream.incarnation() {
             *self = LocalUpstream::new(info.clone(), lease);
         }
     }
 
-    /// Takes what a sibling tells of an agent; one that joined here is known better.
+    /// Applies a sibling's report. An agent that joined this entry sends more recent heartbeats
+    /// itself: only a drain is applied to it.
     fn apply_report(&self, heartbeat: Heartbeat, lease: Duration) {
         match self.links {
             0 => drop(self.upstream.apply_heartbeat(heartbeat, lease)),
@@ -433,7 +435,7 @@
         }
     }
 
-    fn is_known(&self) -> bool {
+    fn has_source(&self) -> bool {
         self.links > 0 || !self.reported_by.is_empty()
     }
 }
--- a/crates/entry/src/membership/links.rs
+++ b/crates/entry/src/membership/links.rs
@@ -1,10 +1,10 @@
-//! Links to other entries: all of the own failure domain, a few of each other one.
+//! Links to other entries: to all of the own failure domain, and to a few of each other domain.
 //!
-//! At intervals, and soon after something changes, the two ends exchange notes. Over a few of its
-//! links an entry learns of editions as soon as the other has them; over the others by the
-//! revision in the notes. Which entries of another domain are linked to, and which links bring
-//! editions, is a rendezvous hash, so both spread evenly and stay the same while nobody comes or
-//! goes.
+//! The two ends of a link exchange updates at intervals, and soon after a change. On a few of its
+//! links an entry waits for editions and receives each as soon as the peer has it; on the others it
+//! learns of them by the revision in the updates. A rendezvous hash chooses the linked entries of
+//! another domain and the links on which editions are awaited; both are spread evenly and stable
+//! while membership doesn't change.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,28 +23,28 @@
 use crate::Entry;
 use crate::membership::control::own_update;
 
-/// Log prefix of this part.
+/// Log prefix of this module.
 const PART: &str = "links";
 
-/// Links kept to each other failure domain.
+/// Number of links to each other failure domain.
 const LINKS_PER_REMOTE_DOMAIN: usize = 2;
 
-/// Links on which editions are waited for.
+/// Maximum number of links on which editions are awaited.
 const MAX_WATCHED_LINKS: usize = 6;
 
-/// Shortest time between two exchanges of notes on a link.
+/// Minimum time between two exchanges of updates on a link.
 const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks at which links are wanted.
+/// Interval at which the set of links is updated.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// First and longest pause before a broken link is made again.
+/// Initial and maximum back-off before a broken link is reconnected.
 const BACKOFF: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(5)];
 
-/// Bytes one exchange of notes costs on the link; docs/CAPACITY.md has the figures.
+/// Bytes of an exchange of updates on the link; docs/CAPACITY.md lists the figures.
 const EXCHANGE_BYTES: u64 = 1500;
 
-/// Addresses of entries this one has heard of.
+/// Known addresses of other entries.
 #[derive(Debug, Default)]
 pub struct AddressBook {
     own: Option<SocketAddr>,
@@ -52,7 +52,7 @@
 }
 
 impl AddressBook {
-    /// A book with the addresses of the settings.
+    /// Creates an address book with the seeds of the settings.
     pub fn new(own: SocketAddr, seeds: &[SocketAddr]) -> AddressBook {
         let address_book = AddressBook {
             own: Some(own),
@@ -62,13 +62,13 @@
         address_book
     }
 
-    /// Adds addresses; the own one is left out.
+    /// Adds addresses, except the own one.
     pub fn add<'a>(&self, addrs: impl IntoIterator<Item = &'a SocketAddr>) {
         let addrs = addrs.into_iter().copied();
         self.lock().extend(addrs.filter(|a| Some(*a) != self.own));
     }
 
-    /// A random sample.
+    /// Returns a random sample of `n` addresses.
     pub fn sample(&self, n: usize) -> Vec<SocketAddr> {
         self.lock().iter().copied().sample(&mut rand::rng(), n)
     }
@@ -82,20 +82,20 @@
     }
 }
 
-/// Claims for another entry to write.
+/// Batch of claims for another entry to write.
 #[derive(Debug)]
 pub struct ClaimJob {
-    /// The entry.
+    /// Address of the entry.
     pub to: SocketAddr,
     /// Claims.
     pub claims: Vec<Claim>,
-    /// Takes the results.
+    /// Sender of the outcomes.
     pub tx: oneshot::Sender<Vec<ClaimOutcome>>,
 }
 
 type OpenLinks = Rc<RefCell<Map<SocketAddr, Rc<Link>>>>;
 
-/// Keeps the wanted links for as long as the process runs; call within a `LocalSet`.
+/// Maintains the links for as long as the process runs. Must run in a `LocalSet`.
 pub async fn maintain_links(entry: Arc<Entry>, mut jobs: mpsc::Receiver<ClaimJob>) {
     let open_links = OpenLinks::default();
     let mut tasks: Map<SocketAddr, JoinHandle<()>> = Map::default();
@@ -132,8 +132,8 @@
     }
 }
 
-/// Addresses to link to: unknown ones, to learn who they are; all of the own domain; of each
-/// other domain the few that rank highest.
+/// Returns the addresses to link to: those of unknown entries, to learn their failure domain; all
+/// of the own domain; of each other domain the few that rank first.
 fn wanted_links(entry: &Entry) -> Set<SocketAddr> {
     let known_domains: Map<SocketAddr, DomainName> = entry
         .fleet
@@ -168,7 +168,7 @@
         let attempted_at = clock::now();
         match run_link(&entry, addr, &open_links).await {
             Ok(()) => {}
-            Err(e) => debug!(target: PART, "{PART}: link to entry {addr} ended: {e}"),
+            Err(e) => debug!(target: PART, "{PART}: link to entry {addr} closed: {e}"),
         }
         open_links.borrow_mut().remove(&addr);
         if clock::since(attempted_at) > max_pause {
@@ -180,7 +180,7 @@
     }
 }
 
-/// Uses a link until it breaks.
+/// Runs a link until it breaks.
 async fn run_link(
     entry: &Arc<Entry>,
     addr: SocketAddr,
@@ -201,7 +201,7 @@
         let round = async {
             exchange(entry, &link, Some((&to, addr))).await?;
             tokio::time::sleep(MIN_EXCHANGE_INTERVAL).await;
-            // Woken early or not, the next round tells what changed.
+            // Whether a change or the interval ends the wait, the next round sends what changed.
             let _ = tokio::time::timeout(exchange_interval(entry), changes.changed()).await;
             Ok::<_, WireError>(())
         };
@@ -212,7 +212,7 @@
     }
 }
 
-/// Exchanges notes; returns the other's failure domain.
+/// Exchanges updates; returns the peer's failure domain.
 async fn exchange(
     entry: &Arc<Entry>,
     link: &Link,
@@ -225,27 +225,29 @@
     };
     let update = link.exchange(&own).await?;
     entry.address_book.add(&update.entries);
-    let fresh = update.freshness;
+    let freshness = update.freshness;
     if let Some(confirmed) = requested_at
-        .checked_sub(fresh.age)
-        .filter(|_| fresh.age < wire::NEVER_CONFIRMED)
+        .checked_sub(freshness.age)
+        .filter(|_| freshness.age < wire::NEVER_CONFIRMED)
     {
-        entry.active_table.confirm(fresh.revision, confirmed);
+        entry.active_table.confirm(freshness.revision, confirmed);
     }
     let domain = update.domain.clone();
     entry
         .fleet
         .apply_update(update, entry.lease(), exchange_interval(entry));
-    let view = entry.active_table.current();
-    match fresh.revision {
-        peer_revision if peer_revision < view.edition.revision => link.offer(&view.edition).await?,
-        peer_revision if peer_revision > view.edition.revision => fetch(entry, link).await?,
+    let active = entry.active_table.current();
+    match freshness.revision {
+        peer_revision if peer_revision < active.edition.revision => {
+            link.offer(&active.edition).await?
+        }
+        peer_revision if peer_revision > active.edition.revision => fetch(entry, link).await?,
         _ => {}
     }
     Ok(domain)
 }
 
-/// Waits for editions, if the link is among the few on which that is done.
+/// Awaits editions while the link is among those on which they are awaited.
 async fn watch(entry: &Arc<Entry>, link: &Link, addr: SocketAddr) -> Result<(), WireError> {
     loop {
         match is_watched(entry, addr) {
@@ -263,7 +265,7 @@
     ranked_before.count() < MAX_WATCHED_LINKS
 }
 
-/// Takes the next edition from the other; all of it where what changed doesn't fit.
+/// Fetches the next edition from the peer; the full edition if the patch doesn't apply.
 async fn fetch(entry: &Arc<Entry>, link: &Link) -> Result<(), WireError> {
     let patch = link.watch(entry.active_table.revision()).await?;
     if !apply_patch(entry, patch) {
@@ -272,7 +274,7 @@
     Ok(())
 }
 
-/// Takes an edition if it is newer, whoever brought it; `false` where its base isn't known here.
+/// Applies a patch if its edition is newer; returns `false` if its base isn't known here.
 pub fn apply_patch(entry: &Entry, patch: Patch) -> bool {
     let (revision, author) = (patch.revision, patch.author.clone());
     match entry.active_table.apply_patch(patch) {
@@ -286,10 +288,10 @@
 
 fn log_mismatch(revision: Revision, faults: &[Fault]) {
     let first = faults.first().map(ToString::to_string).unwrap_or_default();
-    warn!(target: PART, "{PART}: revision {revision} doesn't fit this deployment ({first}); give all VMs the same domains");
+    warn!(target: PART, "{PART}: revision {revision} is not valid in this deployment ({first}); give all VMs the same domains");
 }
 
-/// Takes an edition if it is newer, whoever brought it.
+/// Applies an edition if it is newer.
 pub fn apply_edition(entry: &Entry, edition: Edition) {
     let (revision, author) = (edition.revision, edition.author.clone());
     match entry.active_table.offer(edition) {
@@ -299,8 +301,8 @@
     }
 }
 
-/// Time between two exchanges of notes: longer the more links there are, so that all of them
-/// together stay within half of the control budget.
+/// Returns the interval of the exchanges on a link. It grows with the number of links, to keep the
+/// exchanges on all of them within half of the control budget.
 pub fn exchange_interval(entry: &Entry) -> Duration {
     let links = entry.fleet.entries().len() as u64;
     let cost = Duration::from_millis(links * EXCHANGE_BYTES * 2000 / entry.cfg.control_budget);
@@ -309,9 +311,9 @@
 
 async fn forward_claims(entry: Arc<Entry>, open_links: OpenLinks, job: ClaimJob) {
     let link = open_links.borrow().get(&job.to).cloned();
-    let within = entry.cfg.upkeep.platform.timeout;
+    let timeout = entry.cfg.upkeep.platform.timeout;
     let results = match link {
-        Some(link) => link.claim(&job.claims, within).await.ok(),
+        Some(link) => link.claim(&job.claims, timeout).await.ok(),
         None => Some(entry.claims.commit(job.claims.clone()).await),
     };
     let unknown = || vec![ClaimOutcome::Unknown; job.claims.len()];
--- a/crates/entry/src/membership/mod.rs
+++ b/crates/entry/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who is there: upstreams and other entries, and the links that tell.
+//! Membership: known upstreams and entries, and the control links between them.
 
 pub mod control;
 pub mod fleet;
--- a/crates/entry/src/membership/upstream.rs
+++ b/crates/entry/src/membership/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream VM as an entry sees it.
+//! State of an upstream VM as seen by an entry.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -9,16 +9,16 @@
 use table::Version;
 use wire::{AgentInfo, Heartbeat, Holding};
 
-/// An upstream.
+/// Upstream VM.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Who its agent is.
+    /// Identity and addresses of its agent.
     pub info: AgentInfo,
     running: AtomicU32,
     state: Mutex<State>,
 }
 
-/// What changes of it.
+/// Mutable state of an upstream.
 #[derive(Debug)]
 struct State {
     holdings: Vec<Holding>,
@@ -32,7 +32,7 @@
 }
 
 impl Upstream {
-    /// An upstream whose agent joined just now.
+    /// Creates an upstream whose lease starts now.
     pub fn new(info: AgentInfo, lease: Duration) -> Upstream {
         Upstream {
             info,
@@ -54,16 +54,16 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a heartbeat; says whether versions, or whether it is leaving, changed.
+    /// Applies a heartbeat; returns whether its versions or its draining state changed.
     pub fn apply_heartbeat(&self, heartbeat: Heartbeat, lease: Duration) -> bool {
-        let mut c = self.state();
+        let mut state = self.state();
         let now = clock::now();
-        c.lease_until = now + lease;
-        c.reported_load = heartbeat.running;
-        c.revision = heartbeat.revision;
-        let was_draining = c.draining;
-        c.draining |= heartbeat.leaving;
-        let drain_changed = c.draining != was_draining;
+        state.lease_until = now + lease;
+        state.reported_load = heartbeat.running;
+        state.revision = heartbeat.revision;
+        let was_draining = state.draining;
+        state.draining |= heartbeat.leaving;
+        let drain_changed = state.draining != was_draining;
         if heartbeat.same_holdings {
             return drain_changed;
         }
@@ -73,153 +73,153 @@
                 .map(|h| (h.model.clone(), h.version.clone(), h.live))
                 .collect()
         };
-        let changed = versions(&c.holdings) != versions(&heartbeat.holdings);
-        c.holdings = heartbeat.holdings;
-        let live: Vec<(Model, Version)> = c
+        let changed = versions(&state.holdings) != versions(&heartbeat.holdings);
+        state.holdings = heartbeat.holdings;
+        let live: Vec<(Model, Version)> = state
             .holdings
             .iter()
             .filter(|h| h.live)
             .map(|h| (h.model.clone(), h.version.clone()))
             .collect();
-        c.live_since.retain(|key, _| live.contains(key));
+        state.live_since.retain(|key, _| live.contains(key));
         for key in live {
-            c.live_since.entry(key).or_insert(now);
+            state.live_since.entry(key).or_insert(now);
         }
         changed || drain_changed
     }
 
-    /// The last heartbeat, as a sibling is told of it.
+    /// Returns the state of the last heartbeat, for updates to siblings.
     pub fn last_heartbeat(&self) -> Heartbeat {
-        let c = self.state();
+        let state = self.state();
         Heartbeat {
-            revision: c.revision,
-            running: c.reported_load,
-            leaving: c.draining,
-            holdings: c.holdings.clone(),
+            revision: state.revision,
+            running: state.reported_load,
+            leaving: state.draining,
+            holdings: state.holdings.clone(),
             entries_seen: 0,
             same_holdings: false,
         }
     }
 
-    /// Notes that others still hear of it.
+    /// Extends the lease, since other entries still report the upstream.
     pub fn renew_lease(&self, lease: Duration) {
-        let mut c = self.state();
-        c.lease_until = c.lease_until.max(clock::now() + lease);
+        let mut state = self.state();
+        state.lease_until = state.lease_until.max(clock::now() + lease);
     }
 
-    /// Notes that another domain's entries tell of a version live there.
+    /// Records that entries of another domain report a version as live.
     pub fn mark_live(&self, model: &str, version: &Version, lease: Duration) {
-        let mut c = self.state();
+        let mut state = self.state();
         let now = clock::now();
-        c.lease_until = now + lease;
+        state.lease_until = now + lease;
         let key = (model.to_owned(), version.clone());
-        c.live_since.entry(key).or_insert(now);
+        state.live_since.entry(key).or_insert(now);
     }
 
-    /// Whether its lease has not run out.
+    /// Returns whether its lease is still valid.
     pub fn has_lease(&self) -> bool {
         self.state().lease_until >= clock::now()
     }
 
-    /// Notes that it takes no new work.
+    /// Records that it accepts no new requests.
     pub fn mark_draining(&self) {
         self.state().draining = true;
     }
 
-    /// Notes that a version is not live there after all.
+    /// Records that a version is not live.
     pub fn mark_not_live(&self, model: &str, version: &Version) {
         let key = (model.to_owned(), version.clone());
         self.state().live_since.remove(&key);
     }
 
-    /// Whether it is about to go.
+    /// Returns whether it is draining.
     pub fn is_draining(&self) -> bool {
         self.state().draining
     }
 
-    /// Since when a version has been live there, where requests may be sent for it now.
+    /// Returns since when a version has been live; `None` if requests may not be sent for it.
     pub fn live_since(&self, model: &str, version: &Version) -> Option<Instant> {
-        let c = self.state();
-        if c.draining || c.lease_until < clock::now() {
+        let state = self.state();
+        if state.draining || state.lease_until < clock::now() {
             return None;
         }
         let key = (model.to_owned(), version.clone());
-        c.live_since.get(&key).copied()
+        state.live_since.get(&key).copied()
     }
 
-    /// Whether it is left alone after failures.
+    /// Returns whether it is ejected after failures.
     pub fn is_ejected(&self) -> bool {
         self.state()
             .ejected_until
             .is_some_and(|until| until > clock::now())
     }
 
-    /// Notes a failure; leaves it alone for a while after several in a row.
+    /// Records a failure; ejects the upstream for `eject_time` after several consecutive ones.
     pub fn record_failure(&self, max_failures: u64, eject_time: Duration) {
-        let mut c = self.state();
-        c.failures += 1;
-        if c.failures >= max_failures {
-            c.ejected_until = Some(clock::now() + eject_time);
+        let mut state = self.state();
+        state.failures += 1;
+        if state.failures >= max_failures {
+            state.ejected_until = Some(clock::now() + eject_time);
         }
     }
 
-    /// Notes an answer, and the load the agent carried back on it.
+    /// Records a response and the load that it reports; ends an ejection.
     pub fn record_response(&self, load: Option<u32>) {
-        let mut c = self.state();
-        c.failures = 0;
-        c.ejected_until = None;
+        let mut state = self.state();
+        state.failures = 0;
+        state.ejected_until = None;
         if let Some(load) = load {
-            c.reported_load = load;
+            state.reported_load = load;
         }
     }
 
-    /// Requests of this entry running there.
+    /// Returns the number of requests of this entry that it is running.
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Load to compare upstreams by: the larger of our own count and the last report.
+    /// Returns the load for comparison: the larger of this entry's count and the last report.
     pub fn load(&self) -> u32 {
         self.running().max(self.state().reported_load)
     }
 
-    /// Load as it was last reported.
+    /// Returns the last reported load.
     pub fn reported_load(&self) -> u32 {
         self.state().reported_load
     }
 
-    /// Versions it fetches, holds or has live.
+    /// Returns the versions it fetches, holds or has live.
     pub fn holdings(&self) -> Vec<Holding> {
         self.state().holdings.clone()
     }
 
-    /// Revision of the table its agent serves by, as of its last heartbeat.
+    /// Returns the table revision in force at its agent, as of the last heartbeat.
     pub fn revision(&self) -> Revision {
         self.state().revision
     }
 
-    /// Its id.
+    /// Returns the VM id.
     pub fn vm(&self) -> &VmId {
         &self.info.vm
     }
 
-    /// Its failure domain.
+    /// Returns the failure domain.
     pub fn domain(&self) -> &DomainName {
         &self.info.domain
     }
 
-    /// Where its agent takes requests.
+    /// Returns the address at which its agent accepts requests.
     pub fn listen(&self) -> SocketAddr {
         self.info.listen
     }
 
-    /// Its agent's incarnation.
+    /// Returns the incarnation of its agent.
     pub fn incarnation(&self) -> Incarnation {
         self.info.incarnation
     }
 }
 
-/// A place among the requests running at an upstream, given back when dropped.
+/// Slot for a running request at an upstream; freed when dropped.
 #[derive(Debug)]
 pub struct Slot {
     /// Upstream.
@@ -227,7 +227,7 @@
 }
 
 impl Slot {
-    /// Takes a slot if fewer than `limit` are taken.
+    /// Acquires a slot if fewer than `limit` are in use.
     pub fn acquire(upstream: &Arc<Upstream>, limit: u32) -> Option<Slot> {
         upstream
             .running
--- a/crates/entry/src/poll.rs
+++ b/crates/entry/src/poll.rs
@@ -1,4 +1,4 @@
-//! Reads the platform: the table's edition in force and the list of VMs.
+//! Polls the platform for the edition of the table in force and for the list of VMs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::Entry;
 use crate::membership::links::apply_edition;
 
-/// Log prefix of this part.
+/// Log prefix of this module.
 const PART: &str = "poll";
 
-/// Follows the edition in force for as long as the process runs.
+/// Polls the edition in force for as long as the process runs.
 pub async fn table(entry: Arc<Entry>, tables: Tables) {
     let mut known: Option<(Tag, Revision)> = None;
     let mut unreachable = false;
@@ -34,7 +34,7 @@
                 log_recovery(&mut unreachable);
             }
             Err(e) if !unreachable => {
-                warn!(target: PART, "{PART}: the table can't be read: {e}");
+                warn!(target: PART, "{PART}: failed to read the table: {e}");
                 unreachable = true;
             }
             Err(_) => {}
@@ -51,11 +51,11 @@
 
 fn log_recovery(unreachable: &mut bool) {
     if std::mem::take(unreachable) {
-        info!(target: PART, "{PART}: the table can be read again");
+        info!(target: PART, "{PART}: reading the table works again");
     }
 }
 
-/// Follows the list of VMs for as long as the process runs.
+/// Polls the list of VMs for as long as the process runs.
 pub async fn members(entry: Arc<Entry>, members: Members) {
     let mut tag = None;
     loop {
@@ -65,7 +65,7 @@
                 apply_member_list(&entry, &list);
             }
             Ok(None) => {}
-            Err(e) => warn!(target: PART, "{PART}: the list of VMs can't be read: {e}"),
+            Err(e) => warn!(target: PART, "{PART}: failed to read the list of VMs: {e}"),
         }
         entry.limiter.remove_idle();
         tokio::time::sleep(jittered(entry.cfg.members_poll)).await;
@@ -83,7 +83,7 @@
     entry.fleet.set_listed_draining(draining);
 }
 
-/// A pause of a tenth more or less, so that entries don't ask all at once.
+/// Returns the interval with a jitter of 10 % either way, which spreads the polls of the entries.
 fn jittered(interval: Duration) -> Duration {
     interval.mul_f64(0.9 + 0.2 * rand::random::<f64>())
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,7 +1,7 @@
-//! What a caller is told when it gets no answer from a back end.
+//! Responses to requests that got none from an upstream.
 //!
-//! Every kind has a stable code, an HTTP status, an outcome and, where coming back helps, a time
-//! to come back after. The message names the remedy.
+//! Each refusal has a stable code, an HTTP status, an outcome and, where a retry helps, a
+//! retry-after time. Its message names the remedy.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use web::Response;
 
-/// Why a request got no answer.
+/// Reason why a request got no response from an upstream.
 #[derive(Debug, Clone, Display)]
 pub enum Refusal {
     /// {0}; mend the request
@@ -57,7 +57,7 @@
     Stopping,
 }
 
-/// Time to come back after where nothing better is known.
+/// Retry-after time without a better estimate; also the timeout of a settle request.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
@@ -76,7 +76,7 @@
 }
 
 impl Refusal {
-    /// Stable code.
+    /// Returns the stable code.
     pub fn code(&self) -> &'static str {
         match self {
             Refusal::Malformed(_) => "malformed",
@@ -103,7 +103,7 @@
         }
     }
 
-    /// HTTP status.
+    /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
         match self {
             Refusal::Malformed(_) => 400,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Outcome.
+    /// Returns the outcome of the request.
     pub fn outcome(&self) -> Outcome {
         match self {
             Refusal::KeyRunning(_)
@@ -138,7 +138,7 @@
         }
     }
 
-    /// When to come back, where that helps.
+    /// Returns the time after which a retry helps, if it does.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Refusal::OverLimit(_, _, after)
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The answer to the caller.
+    /// Builds the response to the caller.
     pub fn response(&self, request: &str) -> Response {
         let body = ErrorBody {
             error: ErrorDetail {
@@ -167,7 +167,7 @@
                 retry_after_ms: self.retry_after().map(|d| d.as_millis() as u64),
             },
         };
-        let text = serde_json::to_string(&body).expect("plain data");
+        let text = serde_json::to_string(&body).expect("a refusal is plain data");
         let mut res = web::json(self.status(), text);
         let headers = res.headers_mut();
         web::set_header(headers, header::OUTCOME, self.outcome().as_str());
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! Parsing and validation of a caller's request.
 
 use std::time::{Duration, Instant};
 
@@ -11,19 +11,19 @@
 
 use crate::refusal::Refusal;
 
-/// Workspace of callers that name none.
+/// Workspace of requests that name none.
 const DEFAULT_WORKSPACE: &str = "none";
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Path under which plain services are called.
+/// Path prefix of requests to plain services.
 const SERVICES_PREFIX: &str = "/services/";
 
-/// Paths of completions.
+/// Paths of completion requests.
 const COMPLETION_PATHS: [&str; 2] = ["/v1/completions", "/v1/chat/completions"];
 
-/// Headers passed on to a back end.
+/// Request headers that are forwarded to the upstream.
 const FORWARDED_HEADERS: [&str; 6] = [
     "content-type",
     "accept",
@@ -33,51 +33,51 @@
     "authorization",
 ];
 
-/// What may be done with a request after it was sent once.
+/// Whether a request may be sent again after a first attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// It may be sent again.
+    /// The request may be retried.
     Retryable,
-    /// It is sent once; a resend by the caller is another request.
+    /// The request is sent once; a retry by the caller is a new request.
     SendOnce,
-    /// It runs at most once for its idempotency key.
+    /// The request runs at most once for its idempotency key.
     Keyed(String),
 }
 
 /// A caller's request.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// Id.
+    /// Request id.
     pub id: RequestId,
-    /// Model or plain service.
+    /// Name of the model or plain service.
     pub model: Model,
-    /// Whether a plain service is meant.
+    /// Whether the request is for a plain service.
     pub is_service: bool,
     /// Workspace.
     pub workspace: Workspace,
     /// Method.
     pub method: Method,
-    /// Path and query at the back end.
+    /// Path and query at the upstream.
     pub path: String,
-    /// Headers passed on.
+    /// Forwarded headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Whether the caller asked for a stream of events.
+    /// Whether the caller requested an event stream.
     pub wants_stream: bool,
-    /// What may be done after it was sent.
+    /// Whether it may be sent again after a first attempt.
     pub retry_safety: RetrySafety,
-    /// Priority the caller lowered it to.
+    /// Priority requested by the caller, which can only lower the row's.
     pub priority: Option<u8>,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived_at: Instant,
-    /// When its caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Instant,
-    /// Hash of the start of the prompt; 0 where there is none.
+    /// Hash of the prompt's prefix; 0 without a prompt.
     pub prefix_hash: u64,
 }
 
-/// The fields of a completion's body that matter here.
+/// Fields of a completion request's body that the entry reads.
 #[derive(Debug, Deserialize)]
 struct Completion {
     model: String,
@@ -90,7 +90,7 @@
 }
 
 impl CallerRequest {
-    /// Reads a request and its body, within the bounds of the settings.
+    /// Reads a request and its body, within the limits of the settings.
     pub async fn read(req: Request, cfg: &EntryCfg) -> Result<CallerRequest, Refusal> {
         let arrived_at = clock::now();
         let (head, body) = req.into_parts();
@@ -100,12 +100,12 @@
         if !is_completion && service.is_none() {
             return Err(Refusal::NoPath);
         }
-        let within = cfg.upkeep.body_timeout;
-        let body = read_body(body, cfg.upkeep.max_body, within)
+        let timeout = cfg.upkeep.body_timeout;
+        let body = read_body(body, cfg.upkeep.max_body, timeout)
             .await
             .map_err(|e| match e {
                 BodyError::TooLarge(limit) => Refusal::TooLarge(limit),
-                BodyError::TimedOut(within) => Refusal::SlowBody(within),
+                BodyError::TimedOut(timeout) => Refusal::SlowBody(timeout),
                 e => Refusal::Malformed(e.to_string()),
             })?;
         let mut request = CallerRequest {
@@ -131,17 +131,17 @@
         Ok(request)
     }
 
-    /// Time left.
+    /// Returns the time until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(clock::now())
     }
 
-    /// Whether it must run at most once.
+    /// Returns whether the request must run at most once.
     pub fn is_unsafe(&self) -> bool {
         self.retry_safety != RetrySafety::Retryable
     }
 
-    /// Digest of what an idempotency key stands for.
+    /// Returns the digest of the content that an idempotency key is bound to.
     pub fn content_digest(&self) -> Digest {
         let mut buf = Vec::with_capacity(self.body.len() + 256);
         for part in [self.method.as_str(), &self.path, &self.model] {
--- a/crates/entry/src/response.rs
+++ b/crates/entry/src/response.rs
@@ -1,9 +1,10 @@
-//! An answer on its way to the caller.
+//! Response of an upstream on its way to the caller.
 //!
-//! An answer that fits is held until whole, so its head can say `done`. A stream of events, or a
-//! larger answer, is passed through as it comes: its head says `unknown`, because so it is, and
-//! its end says what came of it: a stream by a last `outcome` event, anything else by a trailer.
-//! A stream that was cut off gets no `[DONE]`, and half an event is never passed on.
+//! A response within the size limit is buffered until complete, so its head can carry the outcome
+//! `done`. An event stream, or a larger response, is relayed as it arrives. Its head carries the
+//! outcome `unknown`, since the outcome isn't known yet; the outcome follows at the end, in a final
+//! `outcome` event for a stream and in a trailer for any other response. A stream that was cut off
+//! gets no `[DONE]`, and incomplete events are never relayed.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,10 +22,10 @@
 use crate::route::running::RunningRequest;
 use crate::telemetry::{Labels, Telemetry};
 
-/// Last event of a whole stream.
+/// Start of the last event of a complete stream.
 const DONE_EVENT: &[u8] = b"data: [DONE]";
 
-/// Headers of an answer that the caller gets.
+/// Response headers that are relayed to the caller.
 const RESPONSE_HEADERS: [&str; 8] = [
     "content-type",
     "content-range",
@@ -36,41 +37,41 @@
     header::MODEL,
 ];
 
-/// An answer.
+/// Response of an upstream.
 #[derive(Debug)]
 pub struct UpstreamResponse {
     /// Status.
     pub status: StatusCode,
-    /// Headers of the agent's answer.
+    /// Headers of the agent's response.
     pub headers: HeaderMap,
     /// Body.
     pub body: UpstreamBody,
-    /// Whether it is the recorded answer of an earlier run.
+    /// Whether it is the recorded response of an earlier run.
     pub replayed: bool,
 }
 
-/// Body of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub enum UpstreamBody {
-    /// All of it.
+    /// Complete, buffered body.
     Complete(Bytes),
-    /// To be passed through as it comes.
+    /// Body that is relayed as it arrives.
     Streaming {
-        /// What comes.
+        /// Incoming body.
         body: Incoming,
-        /// Whether it is a stream of events.
+        /// Whether it is an event stream.
         is_event_stream: bool,
         /// Counts the request as running until the last byte.
         running: RunningRequest,
     },
 }
 
-/// What a stream keeps until its end.
+/// State of a response that is being relayed.
 struct Relay {
     body: Incoming,
     is_event_stream: bool,
     buf: BytesMut,
-    is_done: bool,
+    done_received: bool,
     first_data_at: Option<Instant>,
     last_data_at: Instant,
     event_count: u32,
@@ -85,7 +86,7 @@
 }
 
 impl UpstreamResponse {
-    /// The response to the caller.
+    /// Converts it to the response to the caller.
     pub fn into_response(
         self,
         request: &CallerRequest,
@@ -110,7 +111,7 @@
                     body,
                     is_event_stream,
                     buf: BytesMut::new(),
-                    is_done: false,
+                    done_received: false,
                     first_data_at: None,
                     last_data_at: request.arrived_at,
                     event_count: 0,
@@ -186,14 +187,14 @@
         }
     }
 
-    /// Takes bytes in and gives out what makes whole events, keeping back the last one.
+    /// Buffers `data` and returns the events that are complete, without the final `[DONE]`.
     fn take_complete_events(&mut self, data: Bytes) -> Bytes {
         self.buf.extend_from_slice(&data);
         let mut out = BytesMut::new();
         while let Some(at) = event_end(&self.buf) {
             let event = self.buf.split_to(at);
             match event.starts_with(DONE_EVENT) {
-                true => self.is_done = true,
+                true => self.done_received = true,
                 false => {
                     self.event_count += 1;
                     out.extend_from_slice(&event);
@@ -213,15 +214,15 @@
         }
     }
 
-    /// Mean time between events, where there were at least two.
+    /// Returns the mean time between events; `None` for fewer than two events.
     fn mean_gap(&self) -> Option<Duration> {
         let span = self.last_data_at.duration_since(self.first_data_at?);
         (self.is_event_stream && self.event_count > 1).then(|| span / (self.event_count - 1))
     }
 
-    /// The last frame, by whether the whole answer came.
+    /// Returns the last frame, with the outcome of the response.
     fn final_frame(&mut self) -> Frame<Bytes> {
-        match (self.is_event_stream, self.is_done) {
+        match (self.is_event_stream, self.done_received) {
             (true, true) => self.outcome_event(Outcome::Done, "ok"),
             (true, false) => self.outcome_event(Outcome::Unknown, "the upstream ended early"),
             (false, _) => {
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Ends an answer that was cut off; nothing that looks whole is sent.
+    /// Ends a response that was cut off, without anything that marks it as complete.
     fn abort(&mut self, cause: &'static str) -> Option<Result<Frame<Bytes>, BodyError>> {
         if self.is_event_stream {
             return Some(Ok(self.outcome_event(Outcome::Unknown, cause)));
@@ -264,7 +265,7 @@
     }
 }
 
-/// Where the first whole event ends.
+/// Returns the end of the first complete event.
 fn event_end(buf: &[u8]) -> Option<usize> {
     buf.windows(2).position(|w| w == b"\n\n").map(|at| at + 2)
 }
--- a/crates/entry/src/retry_budget.rs
+++ b/crates/entry/src/retry_budget.rs
@@ -1,17 +1,17 @@
-//! Retry budget: retries are paid for by requests, so that they cannot feed a collapse.
+//! Retry budget: requests fund retries, so that retries can't amplify an overload.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Price of a retry and bounds, in hundredths.
+/// Cost of a retry in hundredths, the unit of the balance.
 const RETRY_COST: u64 = 100;
 
-/// Retries that may come at once.
+/// Maximum balance, in retries; bounds a burst of retries.
 const MAX_BALANCE: u64 = 20;
 
-/// Retries kept for a quiet entry.
+/// Initial balance, in retries, for an entry with few requests so far.
 const INITIAL_BALANCE: u64 = 3;
 
-/// The budget.
+/// Budget of retries.
 #[derive(Debug)]
 pub struct RetryBudget {
     percent: u64,
@@ -19,7 +19,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of `percent` retries for every 100 requests.
+    /// Creates a budget of `percent` retries per 100 requests.
     pub fn new(percent: u64) -> RetryBudget {
         let balance = if percent == 0 {
             0
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub fn deposit(&self) {
         let _ = self
             .balance
@@ -41,7 +41,7 @@
             });
     }
 
-    /// Pays for a retry; `false` where the budget is used up.
+    /// Withdraws one retry; returns `false` if the budget is used up.
     pub fn withdraw(&self) -> bool {
         self.balance
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |n| {
--- a/crates/entry/src/route/attempt.rs
+++ b/crates/entry/src/route/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one upstream.
+//! A single attempt of a request at an upstream, and settlement of attempts without a response.
 
 use std::sync::Arc;
 
@@ -17,26 +17,26 @@
 use crate::response::{UpstreamBody, UpstreamResponse};
 use crate::route::running::RunningRequest;
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// With an answer.
+    /// The upstream responded.
     Answered(Box<UpstreamResponse>),
-    /// With a definite refusal: it has not run there and will not.
+    /// The agent refused the request: it has not run there and won't.
     Refused(String),
-    /// Before a byte was sent.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// It may have run.
+    /// No valid response was received; the request may have run.
     ResponseLost(String),
-    /// It may have run, and its caller's time is up.
+    /// The deadline passed without a complete response; the request may have run.
     TimedOut,
 }
 
-/// Largest answer to a request to settle, in bytes, beyond the largest answer that is held whole.
+/// Bytes that the response to a settle request may exceed the largest buffered response by.
 const SETTLE_EXTRA_BYTES: usize = 64 << 10;
 
-/// Sends a call to the upstream of `running` and waits for its answer's head, and for all of an
-/// answer that is held until whole.
+/// Sends a request to the upstream of `running` and waits for the head of the response, and for the
+/// complete body if it is buffered.
 pub async fn attempt(
     entry: &Arc<Entry>,
     request: &CallerRequest,
@@ -50,8 +50,8 @@
         return AttemptOutcome::NotSent("the deadline passed".into());
     }
     let req = build_request(entry, request, row, send_once);
-    let within = entry.cfg.attempt_timeout.min(remaining);
-    let res = match entry.client.send(upstream.listen(), req, within).await {
+    let timeout = entry.cfg.attempt_timeout.min(remaining);
+    let res = match entry.client.send(upstream.listen(), req, timeout).await {
         Ok(res) => res,
         Err(e) => {
             upstream.record_failure(entry.cfg.eject_failures, entry.cfg.eject_time);
@@ -87,7 +87,7 @@
 ) -> hyper::Request<web::Body> {
     let mut req = hyper::Request::new(web::full(request.body.clone()));
     *req.method_mut() = request.method.clone();
-    // The path came out of a valid URI.
+    // The path was taken from a valid URI.
     *req.uri_mut() = request.path.parse().unwrap_or_default();
     let headers = req.headers_mut();
     *headers = request.headers.clone();
@@ -111,7 +111,7 @@
     req
 }
 
-/// The row's priority, which a caller may lower.
+/// Returns the priority of the row, or the caller's if that is lower.
 pub fn priority(request: &CallerRequest, row: &Row) -> u8 {
     request
         .priority
@@ -126,7 +126,7 @@
     }
 }
 
-/// Whether an answer is that of this request, by the version it was pinned to.
+/// Returns whether a response belongs to this request and to the version it is pinned to.
 fn is_own_response(headers: &HeaderMap, request: &CallerRequest, row: &Row) -> bool {
     web::header(headers, header::REQUEST) == Some(request.id.as_str())
         && web::header(headers, header::VERSION) == Some(row.version.to_string().as_str())
@@ -179,20 +179,20 @@
     web::header(headers, "content-length").and_then(|s| s.parse().ok())
 }
 
-/// What an agent says of a request it was sent.
+/// Outcome of a request according to the agent it was sent to.
 #[derive(Debug)]
 pub enum Settlement {
-    /// It has not started there and never will.
+    /// The request has not started and never will.
     Sealed,
-    /// It runs.
+    /// The request is running.
     Running,
-    /// It ran, with this answer.
+    /// The request ran, with this response.
     Done(Box<UpstreamResponse>),
-    /// Nobody can say.
+    /// The outcome can't be determined.
     Unknown,
 }
 
-/// Asks an agent what became of a request, and bars the request from starting if it has not.
+/// Asks an agent for the outcome of a request, and prevents the request from starting if it hasn't.
 pub async fn settle(entry: &Entry, record: &ClaimRecord) -> Settlement {
     let mut req = hyper::Request::new(web::empty());
     *req.method_mut() = Method::POST;
--- a/crates/entry/src/route/balance.rs
+++ b/crates/entry/src/route/balance.rs
@@ -1,14 +1,15 @@
-//! Chooses the upstream of a request.
+//! Load balancing: chooses the upstream of a request.
 //!
-//! Candidates have the pinned version live, are not leaving, and lie in a permitted place; those
-//! of the own failure domain go first. Among them a prompt's prefix prefers one upstream (by
-//! rendezvous hash) while that one's load is within a bound of the mean; else the less loaded of
-//! two random ones is taken. Loads lag, so the entry's own count of running requests is part of
-//! them. Upstreams that fail are left alone, unless all do.
+//! Candidates have the pinned version live, are not draining, and are in a permitted place; other
+//! failure domains are used only if the own one has no candidate. Among the candidates with a free
+//! slot, the rendezvous hash of the prompt's prefix prefers one upstream while its load is within a
+//! bound of the mean; otherwise the less loaded of two random candidates is chosen. Reported loads
+//! lag, so a load also includes the entry's own count of running requests. Ejected upstreams are
+//! skipped unless all are ejected.
 //!
-//! That is the policy `prefix`. The others are there to be compared with it on the bench: `two`
-//! (the same without prefixes), `random`, `round-robin`, and `least-reported` (the lowest load
-//! that was reported, however old).
+//! That is the policy `prefix`. The other policies exist for comparison in benchmarks: `two` (the
+//! same without prefixes), `random`, `round-robin`, and `least-reported` (the lowest reported load,
+//! regardless of its age).
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -23,18 +24,18 @@
 use crate::membership::upstream::{Slot, Upstream};
 use crate::request::CallerRequest;
 
-/// What became of a choice.
+/// Result of a choice.
 #[derive(Debug)]
 pub enum Pick {
     /// An upstream with a free slot.
     Chosen(Slot),
-    /// There are upstreams, but none has a free slot.
+    /// No candidate has a free slot.
     Busy,
-    /// There is no upstream.
+    /// There is no candidate.
     NoUpstream,
 }
 
-/// A candidate and since when its version has been live.
+/// Upstream that can serve a row, with the time since which its version has been live.
 #[derive(Debug, Clone)]
 struct Candidate {
     upstream: Arc<Upstream>,
@@ -42,7 +43,7 @@
 }
 
 impl Candidate {
-    /// Load, raised while the replica is warming up.
+    /// Returns the load, scaled up during slow start.
     fn weighted_load(&self, slow_start: Duration) -> f64 {
         let warm_up = match clock::since(self.live_since) {
             live_for if live_for >= slow_start => 1.0,
@@ -52,12 +53,12 @@
     }
 }
 
-/// Upstreams that could serve a row, those of the own domain first.
+/// Returns whether any upstream can serve a row.
 pub fn can_serve(fleet: &Fleet, row: &Row, cfg: &EntryCfg) -> bool {
     !candidates(fleet, row, cfg, &[]).is_empty()
 }
 
-/// Chooses an upstream for a call pinned to a row, none of `tried`.
+/// Chooses an upstream for a request pinned to a row, except those in `tried`.
 pub fn pick(
     fleet: &Fleet,
     row: &Row,
@@ -114,7 +115,7 @@
     }
 }
 
-/// Leaves out ejected upstreams, unless nobody would be left.
+/// Removes ejected upstreams, unless all are ejected.
 fn without_ejected(all: Vec<Candidate>) -> Vec<Candidate> {
     let healthy: Vec<Candidate> = all
         .iter()
@@ -127,7 +128,7 @@
     }
 }
 
-/// The upstream the prompt's prefix prefers, while its load is within the bound.
+/// Returns the upstream that the prompt's prefix prefers, if its load is within the bound.
 fn preferred_by_prefix(
     free: &[Candidate],
     request: &CallerRequest,
@@ -144,7 +145,7 @@
     (best.weighted_load(cfg.slow_start) <= bound.max(2.0)).then(|| best.clone())
 }
 
-/// The next in the order of VMs.
+/// Returns the next upstream in the order of VM ids.
 fn round_robin(mut free: Vec<Candidate>) -> Candidate {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     free.sort_by(|a, b| a.upstream.vm().cmp(b.upstream.vm()));
@@ -152,7 +153,7 @@
     free.swap_remove(index)
 }
 
-/// The one with the lowest load as reported.
+/// Returns the upstream with the lowest reported load.
 fn least_reported(free: &[Candidate]) -> Candidate {
     let lowest = free.iter().min_by_key(|c| c.upstream.reported_load());
     lowest.unwrap_or(&free[0]).clone()
--- a/crates/entry/src/route/dispatch.rs
+++ b/crates/entry/src/route/dispatch.rs
@@ -1,9 +1,9 @@
-//! Sends a request to upstreams until one answers or it is given up on.
+//! Dispatch of a request: attempts at upstreams until one responds or no retry is possible.
 //!
-//! A request that may be repeated goes to another upstream when one refused, was not reached or
-//! lost its answer; one that may not be repeated only when it is certain that it has not run. A
-//! request with an idempotency key is claimed in the platform's table first. Retries are paid for
-//! from a budget. What is given up on is answered at once.
+//! A retryable request goes to another upstream when one refused it, was unreachable or lost its
+//! response; an unsafe request only when it certainly has not run. A request with an idempotency
+//! key is claimed in the platform's table first. Retries are paid from the retry budget. A request
+//! that can't be retried is refused immediately.
 
 use std::sync::Arc;
 
@@ -22,10 +22,10 @@
 use crate::route::balance::{Pick, pick};
 use crate::route::running::RunningRequest;
 
-/// Log prefix of this part.
+/// Log prefix of this module.
 const PART: &str = "dispatch";
 
-/// A request on its way.
+/// Dispatch of one request.
 pub struct Dispatch<'a> {
     entry: &'a Arc<Entry>,
     request: &'a CallerRequest,
@@ -34,7 +34,7 @@
     last_refusal: Option<Refusal>,
 }
 
-/// A claim that stands for this request.
+/// Claim that this request holds.
 struct HeldClaim {
     key: String,
     tag: Option<Tag>,
@@ -42,7 +42,7 @@
 }
 
 impl<'a> Dispatch<'a> {
-    /// A request pinned to a row.
+    /// Creates the dispatch of a request that is pinned to a row.
     pub fn new(entry: &'a Arc<Entry>, request: &'a CallerRequest, row: &'a Row) -> Dispatch<'a> {
         Dispatch {
             entry,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Runs the request to its answer or its refusal.
+    /// Runs the request until it has a response or is refused.
     pub async fn run(mut self) -> Result<UpstreamResponse, Refusal> {
         match &self.request.retry_safety {
             RetrySafety::Keyed(key) => {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Finds out whose claim stands, and goes on from there.
+    /// Reads the claim that holds the key and continues by its request and state.
     async fn run_existing_claim(
         &mut self,
         key: String,
@@ -119,7 +119,7 @@
     ) -> Result<UpstreamResponse, Refusal> {
         let found = self.entry.claims.read(&key).await;
         let Ok(Some((record, tag))) = found else {
-            // An own claim that shows up later names a request that is never sent.
+            // If the claim was written after all, it names a request that is never sent.
             return Err(Refusal::NoClaim(DEFAULT_RETRY_AFTER));
         };
         let tag = Some(tag);
@@ -144,7 +144,7 @@
         self.run_claimed(held, running).await
     }
 
-    /// Sends the request while its claim stands, moving the claim along with it.
+    /// Sends the request under its claim, and moves the claim with each retry.
     async fn run_claimed(
         &mut self,
         mut held: HeldClaim,
@@ -200,7 +200,7 @@
         })
     }
 
-    /// The tag of a claim, read where it isn't known, and only if the claim is still the same.
+    /// Returns the tag of a claim; if it isn't known, reads it, provided the claim is unchanged.
     async fn claim_tag(&self, held: &HeldClaim) -> Result<Tag, Refusal> {
         if let Some(tag) = &held.tag {
             return Ok(tag.clone());
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Says in the table that the request has not run, so that a resend can run at once.
+    /// Marks the claim as released, since the request has not run: a retry can run immediately.
     async fn release(&self, held: HeldClaim) {
         let Ok(tag) = self.claim_tag(&held).await else {
             return;
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Pays for an attempt after the first.
+    /// Pays for any attempt after the first from the retry budget.
     fn spend_retry(&self) -> Result<(), Refusal> {
         if self.tried.is_empty() {
             return Ok(());
@@ -292,7 +292,7 @@
         self.tried.push(upstream.clone());
     }
 
-    /// Whether the request may be sent only once to this upstream.
+    /// Returns whether the request must be sent at most once to this upstream.
     fn must_send_once(&self, upstream: &Upstream) -> bool {
         let repeatable = !self.request.is_service || upstream.info.repeatable;
         self.request.is_unsafe() || !repeatable
@@ -311,7 +311,7 @@
     }
 }
 
-/// The refusal of a request that may have run.
+/// Returns the refusal of a request that may have run.
 fn unknown_outcome(outcome: AttemptOutcome) -> Refusal {
     let refusal = match outcome {
         AttemptOutcome::TimedOut => Refusal::LateAnswer,
--- a/crates/entry/src/route/mod.rs
+++ b/crates/entry/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Takes a request to an upstream: which row, which upstream, once or again.
+//! Routing of requests: traffic split, load balancing, attempts and retries.
 
 pub mod attempt;
 pub mod balance;
--- a/crates/entry/src/route/running.rs
+++ b/crates/entry/src/route/running.rs
@@ -1,11 +1,11 @@
-//! A request counted as running, from its choice of an upstream to its last byte.
+//! A running request, from the choice of its upstream to the last byte of its response.
 
 use std::sync::Arc;
 
 use crate::Entry;
 use crate::membership::upstream::{Slot, Upstream};
 
-/// A running request; frees its slot when dropped.
+/// Running request that occupies a slot; frees it when dropped.
 #[derive(Debug)]
 pub struct RunningRequest {
     slot: Option<Slot>,
@@ -13,7 +13,7 @@
 }
 
 impl RunningRequest {
-    /// Counts a request as running.
+    /// Creates a running request in a slot.
     pub fn new(entry: &Arc<Entry>, slot: Slot) -> RunningRequest {
         RunningRequest {
             slot: Some(slot),
@@ -21,9 +21,13 @@
         }
     }
 
-    /// Where it runs.
+    /// Returns the upstream that runs it.
     pub fn upstream(&self) -> &Arc<Upstream> {
-        &self.slot.as_ref().expect("held until dropped").upstream
+        &self
+            .slot
+            .as_ref()
+            .expect("the slot is held until drop")
+            .upstream
     }
 }
 
--- a/crates/entry/src/route/split.rs
+++ b/crates/entry/src/route/split.rs
@@ -1,21 +1,21 @@
-//! Splits a model's traffic over its versions by the shares of their rows.
+//! Traffic split between the versions of a model, by the shares of their rows.
 //!
-//! Smooth weighted round robin: over any run of requests each version's count stays within one of
-//! its share, so the split needs no randomness and no memory of time.
+//! The split is a smooth weighted round robin: over any sequence of requests, the count of each
+//! version stays within one of its exact share. It needs neither randomness nor a time window.
 
 use std::sync::{Mutex, PoisonError};
 
 use base::{Map, Model};
 use table::{Row, Version};
 
-/// Credits of each version, by model.
+/// Credits of each version, by model, for the weighted round robin.
 #[derive(Debug, Default)]
 pub struct TrafficSplit {
     credits: Mutex<Map<Model, Map<Version, i64>>>,
 }
 
 impl TrafficSplit {
-    /// The row the next request goes to; `None` where no row has a share.
+    /// Returns the row of the next request; `None` if no row has a share.
     pub fn next_row<'a>(&self, rows: &[&'a Row]) -> Option<&'a Row> {
         let mut credits = self.credits.lock().unwrap_or_else(PoisonError::into_inner);
         let model = &rows.first()?.model;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts an entry, and stops it without cutting off a request.
+//! Startup and graceful shutdown of an entry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,19 +28,19 @@
 use crate::telemetry::{BurnBounds, Telemetry};
 use crate::{Entry, JOIN_WINDOW, Readiness, admin, poll, serve};
 
-/// Log prefix of this part.
+/// Log prefix of this module.
 const PART: &str = "entry";
 
-/// Batches of claims that may wait to be forwarded.
+/// Maximum number of claim batches queued for forwarding.
 const MAX_CLAIM_JOBS: usize = 256;
 
-/// Time between two looks at whether requests can be sent on.
+/// Interval at which readiness is checked during startup.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why an entry could not start.
+/// Startup error of an entry.
 #[derive(Debug, Display)]
 pub enum EntryError {
-    /// {0} can't be listened on ({1}); free the address or change `{2}` in the settings
+    /// can't listen on {0} ({1}); free the address or change `{2}` in the settings
     Listen(SocketAddr, std::io::Error, &'static str),
     /// the control thread can't be started ({0}); free some memory
     Thread(std::io::Error),
@@ -48,10 +48,10 @@
 
 impl std::error::Error for EntryError {}
 
-/// Renders the metrics.
+/// Function that renders the metrics.
 pub type Render = Arc<dyn Fn() -> String + Send + Sync>;
 
-/// Runs an entry until `stop`, then lets what runs end.
+/// Runs an entry until `stop`, then drains the requests in flight.
 pub async fn run(cfg: EntryCfg, mut stop: StopSignal, render: Render) -> Result<(), EntryError> {
     let control = bind(cfg.control, "control").await?;
     let admin = bind(cfg.upkeep.admin, "admin").await?;
@@ -83,7 +83,7 @@
         serve::handle(caller_entry.clone(), req)
     }));
     let _ = stop.wait_for(|stopping| *stopping).await;
-    info!(target: PART, "{PART}: stopping; running requests go on");
+    info!(target: PART, "{PART}: stopping; draining requests in flight");
     entry.begin_stop();
     tokio::time::sleep(upkeep.stop_notice).await;
     let _ = close.send(true);
@@ -93,9 +93,11 @@
     Ok(())
 }
 
-/// Waits to listen for callers until requests can be sent on; a balancer meets a closed port
-/// meanwhile and asks another entry. An entry that stays without table or agents listens all the
-/// same, and says so to each caller.
+/// Waits until requests can be forwarded, but at most [`JOIN_WINDOW`].
+///
+/// The port for callers is opened afterwards: a load balancer that finds it closed tries another
+/// entry. An entry that still has no table or no agents by then listens all the same and refuses
+/// requests with that reason.
 async fn wait_until_ready(entry: &Entry, stop: &StopSignal) {
     while entry.readiness() != Readiness::Ready && clock::since(entry.started_at) < JOIN_WINDOW {
         if *stop.borrow() {
@@ -160,7 +162,7 @@
     })
 }
 
-/// The entry of the failure domain that writes claims for all; `None` where this one does.
+/// Returns the entry that writes the claims of the whole failure domain; `None` if it is this one.
 fn claim_writer(entry: &Entry) -> Option<SocketAddr> {
     let own = (rank(&[], &entry.cfg.upkeep.vm), None);
     entry
@@ -200,11 +202,11 @@
         let members = Members::new(Kv::new(addr, cfg.dial()));
         tokio::spawn(poll::members(entry.clone(), members));
     }
-    let gauge = entry.clone();
+    let gauge_entry = entry.clone();
     tokio::spawn(async move {
         loop {
-            metrics::gauge!("driftnotch_waiting").set(gauge.queue.len() as f64);
-            metrics::gauge!("driftnotch_upstreams").set(gauge.fleet.local().len() as f64);
+            metrics::gauge!("driftnotch_waiting").set(gauge_entry.queue.len() as f64);
+            metrics::gauge!("driftnotch_upstreams").set(gauge_entry.fleet.local().len() as f64);
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
     });
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to its answer.
+//! Request handler: selects the row of a caller's request, admits it and dispatches it.
 
 use std::sync::Arc;
 
@@ -15,10 +15,10 @@
 use crate::route::dispatch::Dispatch;
 use crate::telemetry::Labels;
 
-/// Log prefix of this part.
+/// Log prefix of this module.
 const PART: &str = "serve";
 
-/// Answers a caller's request.
+/// Handles a caller's request.
 pub async fn handle(entry: Arc<Entry>, req: Request) -> Response {
     let request = match CallerRequest::read(req, &entry.cfg).await {
         Ok(request) => request,
@@ -28,8 +28,8 @@
             return refuse(&entry, &id, &labels, refusal);
         }
     };
-    let view = entry.active_table.current();
-    let row = match choose_row(&entry, &view, &request) {
+    let active = entry.active_table.current();
+    let row = match choose_row(&entry, &active, &request) {
         Ok(row) => row,
         Err(refusal) => {
             let labels = entry.telemetry.labels(String::new(), &request.workspace);
@@ -62,11 +62,11 @@
     Ok((response, permit))
 }
 
-/// The row a call is pinned to: permitted here, within its hold, and by share among those that
-/// an upstream has ready.
+/// Chooses the row that a request is pinned to. The row must be permitted in this failure domain,
+/// within its hold, and live at an upstream; among several, the traffic split decides.
 fn choose_row<'a>(
     entry: &Entry,
-    view: &'a ActiveEdition,
+    active: &'a ActiveEdition,
     request: &CallerRequest,
 ) -> Result<&'a Row, Refusal> {
     let domains = &entry.cfg.upkeep.domains;
@@ -74,7 +74,7 @@
     if entry.active_table.confirmation_age().is_none() {
         return Err(Refusal::NoTable);
     }
-    let model_rows: Vec<&Row> = view
+    let model_rows: Vec<&Row> = active
         .table
         .rows
         .iter()
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -1,6 +1,6 @@
-//! Metrics of an entry, and the counts of its service-level burn.
+//! Metrics of an entry, and the event counts of its error-budget burn.
 //!
-//! docs/OPERATING.md lists the metrics with what to do when they rise.
+//! docs/OPERATING.md lists the metrics and what to do when they rise.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,13 +8,13 @@
 use base::{Outcome, Set};
 use burn::{EntryHistory, Event, History};
 
-/// Workspaces with a label of their own; all others share one.
+/// Maximum number of workspaces with their own label; further ones share one.
 const MAX_WORKSPACE_LABELS: usize = 200;
 
-/// Label of workspaces beyond that.
+/// Label shared by the further workspaces.
 const OTHER_WORKSPACES: &str = "other";
 
-/// Bounds that the burn is counted by.
+/// Latency bounds that burn events are counted by.
 #[derive(Debug, Clone, Copy)]
 pub struct BurnBounds {
     /// Bound on the time to the first token.
@@ -40,7 +40,7 @@
 }
 
 impl Telemetry {
-    /// Metrics that start now.
+    /// Creates metrics whose history starts now.
     pub fn new(bounds: BurnBounds) -> Telemetry {
         Telemetry {
             bounds,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Labels of a request; a row of `""` stands for none.
+    /// Returns the labels of a request; an empty row stands for none.
     pub fn labels(&self, row: String, workspace: &str) -> Labels {
         let mut known = self
             .workspaces
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Counts a request that came to its end. One that ended by its caller's own fault is no
-    /// event of the burn.
+    /// Counts a completed request. A request that failed through a caller's error doesn't count
+    /// towards the burn.
     pub fn record_completed(
         &self,
         labels: &Labels,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Notes the time to the first token.
+    /// Records the time to the first token.
     pub fn record_first_token(&self, labels: &Labels, elapsed: Duration) {
         metrics::histogram!(
             "driftnotch_first_token_seconds",
@@ -104,7 +104,7 @@
         self.record_event(labels, Event::FirstToken { late });
     }
 
-    /// Notes the mean time between the tokens of a stream.
+    /// Records the mean time between the tokens of a stream.
     pub fn record_token_gap(&self, labels: &Labels, mean_gap: Duration) {
         metrics::histogram!("driftnotch_between_tokens_seconds", "row" => labels.row.clone())
             .record(mean_gap.as_secs_f64());
@@ -112,7 +112,7 @@
         self.record_event(labels, Event::Stream { slow });
     }
 
-    /// The counts by the minute.
+    /// Returns the event counts by minute.
     pub fn history(&self, domain: &str) -> EntryHistory {
         EntryHistory {
             domain: domain.to_owned(),
--- a/crates/entry/tests/decisions.rs
+++ b/crates/entry/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Shares, limits, the queue and the retry budget, against what is naively expected.
+//! Tests of the traffic split, limits, admission queue and retry budget against simple models.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -32,7 +32,7 @@
     #![proptest_config(cases::cases(50))]
 
     #[test]
-    fn shares_stay_within_one_request_of_the_exact_split(first in 0u32..=100) {
+    fn traffic_split_stays_within_one_request_of_exact_shares(first in 0u32..=100) {
         let rows = two_versions(first);
         let refs: Vec<&Row> = rows.iter().collect();
         let split = TrafficSplit::default();
@@ -46,7 +46,7 @@
     }
 
     #[test]
-    fn retries_never_exceed_their_share_of_requests(percent in 0u64..=50, requests in prop::collection::vec(any::<bool>(), 0..500)) {
+    fn retries_stay_within_budget(percent in 0u64..=50, requests in prop::collection::vec(any::<bool>(), 0..500)) {
         let budget = RetryBudget::new(percent);
         let (mut earned, mut spent) = (0u64, 0u64);
         for retry in requests {
@@ -54,13 +54,13 @@
             earned += 1;
             spent += u64::from(retry && budget.withdraw());
         }
-        let at_rest = if percent == 0 { 0 } else { 3 };
-        prop_assert!(spent <= at_rest + earned * percent / 100, "{spent} of {earned}");
+        let initial = if percent == 0 { 0 } else { 3 };
+        prop_assert!(spent <= initial + earned * percent / 100, "{spent} of {earned}");
     }
 }
 
 #[test]
-fn ten_thousand_requests_are_split_within_a_point() {
+fn splits_ten_thousand_requests_by_share() {
     let rows = two_versions(37);
     let refs: Vec<&Row> = rows.iter().collect();
     let split = TrafficSplit::default();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_row_without_a_share_gets_nothing() {
+fn row_without_share_gets_no_requests() {
     let rows = two_versions(0);
     let refs: Vec<&Row> = rows.iter().collect();
     let split = TrafficSplit::default();
@@ -88,21 +88,29 @@
 }
 
 #[test]
-fn a_limit_is_divided_among_the_entries_and_follows_them() {
+fn divides_limit_among_entries() {
     let rows = rows("m,service,recife,100,running=12,5,serve\n");
-    let held = |entries: u32| {
+    let count_permits = |entries: u32| {
         let limiter = Limiter::default();
-        let mut held = Vec::new();
-        while let Ok(counted) = limiter.acquire(&rows[0], "w", entries) {
-            held.push(counted);
+        let mut permits = Vec::new();
+        while let Ok(permit) = limiter.acquire(&rows[0], "w", entries) {
+            permits.push(permit);
         }
-        held.len()
+        permits.len()
     };
-    assert_eq!([held(1), held(2), held(3), held(24)], [12, 6, 4, 1]);
+    assert_eq!(
+        [
+            count_permits(1),
+            count_permits(2),
+            count_permits(3),
+            count_permits(24)
+        ],
+        [12, 6, 4, 1]
+    );
 }
 
 #[test]
-fn a_workspace_over_its_limit_leaves_the_others_theirs() {
+fn workspace_limit_does_not_affect_other_workspaces() {
     let rows = rows("m,service,recife,100,workspace-running=2,5,serve\n");
     let limiter = Limiter::default();
     let first: Vec<_> = (0..2)
@@ -114,12 +122,12 @@
     drop(first);
     assert!(
         limiter.acquire(&rows[0], "large", 1).is_ok(),
-        "ended requests count no more"
+        "completed requests free the limit"
     );
 }
 
 #[test]
-fn a_refused_request_uses_up_nothing() {
+fn refused_request_consumes_no_limit() {
     let rows = rows("m,service,recife,100,rps=5;workspace-rps=1,5,serve\n");
     let limiter = Limiter::default();
     for _ in 0..50 {
@@ -134,11 +142,15 @@
 }
 
 #[tokio::test]
-async fn the_queue_wakes_by_priority_then_arrival() {
+async fn queue_wakes_by_priority_then_arrival() {
     let queue = Queue::new(10);
     let far = Instant::now() + Duration::from_secs(60);
-    let mut low = queue.enter(1, Duration::from_secs(60)).expect("a place");
-    let mut high = queue.enter(9, Duration::from_secs(60)).expect("a place");
+    let mut low = queue
+        .enter(1, Duration::from_secs(60))
+        .expect("a queue entry");
+    let mut high = queue
+        .enter(9, Duration::from_secs(60))
+        .expect("a queue entry");
     queue.slot_freed();
     let woken = tokio::select! {
         biased;
@@ -149,13 +161,13 @@
 }
 
 #[tokio::test]
-async fn a_full_queue_refuses_at_once_and_yields_to_a_higher_priority() {
+async fn full_queue_refuses_and_yields_to_higher_priority() {
     let queue = Queue::new(1);
     let long = Duration::from_secs(60);
-    let mut low = queue.enter(1, long).expect("a place");
+    let mut low = queue.enter(1, long).expect("a queue entry");
     let refused = queue.enter(1, long).expect_err("full");
     assert!(matches!(refused, Refusal::Overloaded(after) if after > Duration::ZERO));
-    let high = queue.enter(5, long).expect("the lower one yields");
+    let high = queue.enter(5, long).expect("the lower priority yields");
     let displaced = low.wait(Instant::now() + long).await;
     assert!(
         matches!(displaced, Err(Refusal::Overloaded(_))),
