--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Entry: accepts callers' requests and forwards each to an upstream in a permitted place.
 //!
 //! A request passes through these modules: [`request`] parses it, [`serve`] selects its row of the
-//! table, [`limit`] applies the rate limits, [`route::dispatch`] drives its attempts at upstreams
+//! table, [`limit`] enforces its limits, [`route::dispatch`] drives its attempts at upstreams
 //! that [`route::balance`] chooses, [`admission`] queues it while all upstreams are busy,
 //! [`route::attempt`] sends it, and [`response`] relays the response. [`refusal`] builds the
 //! response to a request that got none from an upstream. [`claim`] prevents unsafe requests from
--- a/crates/entry/src/limit.rs
+++ b/crates/entry/src/limit.rs
@@ -39,7 +39,7 @@
     counters: Arc<Mutex<Map<LimitScope, Counter>>>,
 }
 
-/// Permit of a running request; ends its count when dropped.
+/// Permit of a running request; counts the request as completed when dropped.
 #[derive(Debug)]
 pub struct LimitPermit {
     limiter: Limiter,
--- a/crates/entry/src/membership/control.rs
+++ b/crates/entry/src/membership/control.rs
@@ -18,7 +18,7 @@
 use crate::membership::links::{self, apply_patch};
 use crate::membership::upstream::Upstream;
 
-/// Log prefix of this module.
+/// Log prefix of this part.
 const PART: &str = "control";
 
 /// Burst of editions that may be pushed over a link.
@@ -246,8 +246,8 @@
     Ok(entry.active_table.patch_from(have))
 }
 
-/// Returns the revision in force and the age of its confirmation. The age of an unconfirmed revision
-/// exceeds every hold.
+/// Returns the revision in force and the age of its confirmation. The age of an unconfirmed
+/// revision exceeds every hold.
 fn freshness(entry: &Entry) -> Freshness {
     Freshness {
         revision: entry.active_table.revision(),
--- a/crates/entry/src/membership/fleet.rs
+++ b/crates/entry/src/membership/fleet.rs
@@ -28,7 +28,7 @@
 /// Minimum lease of an entry: the time for which it counts as up without an update.
 const MIN_ENTRY_LEASE: Duration = Duration::from_secs(10);
 
-/// Lease of an entry, in exchange intervals; it may miss fewer exchanges than that.
+/// Lease of an entry in exchange intervals, where that exceeds the minimum lease.
 const LEASE_EXCHANGES: u32 = 3;
 
 /// Another entry, by its updates.
--- a/crates/entry/src/membership/links.rs
+++ b/crates/entry/src/membership/links.rs
@@ -23,7 +23,7 @@
 use crate::Entry;
 use crate::membership::control::own_update;
 
-/// Log prefix of this module.
+/// Log prefix of this part.
 const PART: &str = "links";
 
 /// Number of links to each other failure domain.
--- a/crates/entry/src/poll.rs
+++ b/crates/entry/src/poll.rs
@@ -10,13 +10,13 @@
 use crate::Entry;
 use crate::membership::links::apply_edition;
 
-/// Log prefix of this module.
+/// Log prefix of this part.
 const PART: &str = "poll";
 
 /// Polls the edition in force for as long as the process runs.
 pub async fn table(entry: Arc<Entry>, tables: Tables) {
     let mut known: Option<(Tag, Revision)> = None;
-    let mut unreachable = false;
+    let mut failing = false;
     loop {
         let requested_at = clock::now();
         let tag = known.as_ref().map(|(tag, _)| tag);
@@ -26,16 +26,16 @@
                 known = current.tag.map(|tag| (tag, revision));
                 apply_edition(&entry, current.edition);
                 entry.active_table.confirm(revision, requested_at);
-                log_recovery(&mut unreachable);
+                log_recovery(&mut failing);
             }
             Ok(None) => {
                 let revision = known.as_ref().map_or(0, |(_, revision)| *revision);
                 entry.active_table.confirm(revision, requested_at);
-                log_recovery(&mut unreachable);
+                log_recovery(&mut failing);
             }
-            Err(e) if !unreachable => {
+            Err(e) if !failing => {
                 warn!(target: PART, "{PART}: failed to read the table: {e}");
-                unreachable = true;
+                failing = true;
             }
             Err(_) => {}
         }
@@ -49,8 +49,8 @@
     }
 }
 
-fn log_recovery(unreachable: &mut bool) {
-    if std::mem::take(unreachable) {
+fn log_recovery(failing: &mut bool) {
+    if std::mem::take(failing) {
         info!(target: PART, "{PART}: reading the table works again");
     }
 }
--- a/crates/entry/src/route/dispatch.rs
+++ b/crates/entry/src/route/dispatch.rs
@@ -22,7 +22,7 @@
 use crate::route::balance::{Pick, pick};
 use crate::route::running::RunningRequest;
 
-/// Log prefix of this module.
+/// Log prefix of this part.
 const PART: &str = "dispatch";
 
 /// Dispatch of one request.
@@ -73,7 +73,7 @@
             };
             let upstream = running.upstream().clone();
             let send_once = self.must_send_once(&upstream);
-            let record = self.record(&upstream);
+            let record = self.claim_record(&upstream);
             match attempt(self.entry, self.request, self.row, running, send_once).await {
                 AttemptOutcome::Answered(response) => return Ok(*response),
                 AttemptOutcome::Refused(reason) | AttemptOutcome::NotSent(reason) => {
@@ -97,7 +97,7 @@
 
     async fn run_keyed(&mut self, key: String) -> Result<UpstreamResponse, Refusal> {
         let running = self.next_upstream().await?;
-        let record = self.record(running.upstream());
+        let record = self.claim_record(running.upstream());
         match self.entry.claims.claim(key.clone(), &record).await {
             WriteOutcome::Applied => {
                 let tag = None;
@@ -182,7 +182,7 @@
         held: HeldClaim,
         upstream: &Arc<Upstream>,
     ) -> Result<HeldClaim, Refusal> {
-        let record = self.record(upstream);
+        let record = self.claim_record(upstream);
         let tag = self.claim_tag(&held).await?;
         match self.entry.claims.replace(&held.key, tag, &record).await {
             WriteOutcome::Applied => {}
@@ -298,7 +298,7 @@
         self.request.is_unsafe() || !repeatable
     }
 
-    fn record(&self, upstream: &Upstream) -> ClaimRecord {
+    fn claim_record(&self, upstream: &Upstream) -> ClaimRecord {
         ClaimRecord {
             request: self.request.id.clone(),
             content: self.request.content_digest(),
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -28,7 +28,7 @@
 use crate::telemetry::{BurnBounds, Telemetry};
 use crate::{Entry, JOIN_WINDOW, Readiness, admin, poll, serve};
 
-/// Log prefix of this module.
+/// Log prefix of this part.
 const PART: &str = "entry";
 
 /// Maximum number of claim batches queued for forwarding.
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::route::dispatch::Dispatch;
 use crate::telemetry::Labels;
 
-/// Log prefix of this module.
+/// Log prefix of this part.
 const PART: &str = "serve";
 
 /// Handles a caller's request.
