--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,7 +1,7 @@
-//! Requests waiting for a free slot at an upstream.
+//! Admission queue: requests that wait for a free slot at an upstream.
 //!
-//! The queue is bounded and ordered by priority, then arrival. A request that cannot be served
-//! within its deadline, judged by how fast slots have been freed, is refused before it waits.
+//! The queue is bounded and ordered by priority, then by arrival. A request whose estimated wait,
+//! derived from the rate at which slots are freed, exceeds its deadline is refused immediately.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,42 +12,42 @@
 
 use crate::refusal::Refusal;
 
-/// A waiting request looks again after this long even if nobody wakes it.
-const RECHECK: Duration = Duration::from_millis(50);
+/// Time after which a queued request looks for a slot even if it isn't woken.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Weight of the newest gap between two freed slots in the running mean.
-const NEWEST: f64 = 0.1;
+/// Weight of the latest gap between two freed slots in the moving average.
+const GAP_WEIGHT: f64 = 0.1;
 
-/// Longest time a caller is told to come back after.
-const LONGEST_RETRY: Duration = Duration::from_secs(30);
+/// Longest `retry-after` of a refusal.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-type Place = (Reverse<u8>, u64);
+type QueueKey = (Reverse<u8>, u64);
 
 #[derive(Debug, Default)]
 struct State {
-    waiting: BTreeMap<Place, oneshot::Sender<()>>,
-    next: u64,
-    freed: Option<Instant>,
+    queued: BTreeMap<QueueKey, oneshot::Sender<()>>,
+    next_sequence: u64,
+    last_freed: Option<Instant>,
     mean_gap: f64,
 }
 
-/// The queue.
+/// Bounded priority queue of requests.
 #[derive(Debug)]
 pub struct Queue {
     limit: usize,
     state: Mutex<State>,
 }
 
-/// A request's place in the queue, given up when dropped.
+/// Entry of a request in the queue; removed when dropped.
 #[derive(Debug)]
 pub struct Ticket<'a> {
     queue: &'a Queue,
-    place: Place,
-    woken: oneshot::Receiver<()>,
+    key: QueueKey,
+    wake: oneshot::Receiver<()>,
 }
 
 impl Queue {
-    /// A queue of at most `limit` requests.
+    /// Creates a queue of at most `limit` requests.
     pub fn new(limit: usize) -> Queue {
         Queue {
             limit,
@@ -59,108 +59,108 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a place, or refuses at once.
+    /// Queues a request, or refuses it immediately.
     pub fn enter(&self, priority: u8, remaining: Duration) -> Result<Ticket<'_>, Refusal> {
         let mut state = self.state();
-        let wait = state.wait(state.waiting.len());
-        if state.waiting.len() >= self.limit && !state.yields_to(priority) {
+        let wait = state.estimated_wait(state.queued.len());
+        if state.queued.len() >= self.limit && !state.can_displace(priority) {
             return Err(Refusal::Overloaded(state.retry_after()));
         }
-        let ahead = state.ahead(priority);
-        if state.wait(ahead) > remaining {
-            return Err(Refusal::NoTime(wait.min(LONGEST_RETRY)));
+        let ahead = state.count_ahead(priority);
+        if state.estimated_wait(ahead) > remaining {
+            return Err(Refusal::NoTime(wait.min(MAX_RETRY_AFTER)));
         }
-        if state.waiting.len() >= self.limit {
-            // Dropping its sender tells the last in line that it was displaced.
-            state.waiting.pop_last();
+        if state.queued.len() >= self.limit {
+            // Dropping its sender notifies the last queued request that it was displaced.
+            state.queued.pop_last();
         }
-        let place = (Reverse(priority), state.next);
-        state.next += 1;
-        let (tx, woken) = oneshot::channel();
-        state.waiting.insert(place, tx);
+        let key = (Reverse(priority), state.next_sequence);
+        state.next_sequence += 1;
+        let (tx, wake) = oneshot::channel();
+        state.queued.insert(key, tx);
         Ok(Ticket {
             queue: self,
-            place,
-            woken,
+            key,
+            wake,
         })
     }
 
-    /// Notes a freed slot and wakes the first in line.
-    pub fn freed(&self) {
+    /// Records a freed slot and wakes the first queued request.
+    pub fn slot_freed(&self) {
         let mut state = self.state();
         let now = clock::now();
-        if let Some(last) = state.freed.replace(now) {
-            let gap = now.duration_since(last).as_secs_f64().min(1.0);
-            state.mean_gap += NEWEST * (gap - state.mean_gap);
+        if let Some(previous) = state.last_freed.replace(now) {
+            let gap = now.duration_since(previous).as_secs_f64().min(1.0);
+            state.mean_gap += GAP_WEIGHT * (gap - state.mean_gap);
         }
-        if let Some((_, tx)) = state.waiting.pop_first() {
+        if let Some((_, tx)) = state.queued.pop_first() {
             let _ = tx.send(());
         }
     }
 
-    /// Requests waiting.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
-        self.state().waiting.len()
+        self.state().queued.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Time to come back after, by the state of the queue.
+    /// Returns the time after which a caller may retry, by the estimated wait.
     pub fn retry_after(&self) -> Duration {
         self.state().retry_after()
     }
 }
 
 impl State {
-    fn ahead(&self, priority: u8) -> usize {
-        self.waiting.range(..=(Reverse(priority), u64::MAX)).count()
+    fn count_ahead(&self, priority: u8) -> usize {
+        self.queued.range(..=(Reverse(priority), u64::MAX)).count()
     }
 
-    fn yields_to(&self, priority: u8) -> bool {
-        self.waiting
+    fn can_displace(&self, priority: u8) -> bool {
+        self.queued
             .last_key_value()
             .is_some_and(|((Reverse(lowest), _), _)| *lowest < priority)
     }
 
-    fn wait(&self, ahead: usize) -> Duration {
+    fn estimated_wait(&self, ahead: usize) -> Duration {
         Duration::from_secs_f64(self.mean_gap * ahead as f64)
     }
 
     fn retry_after(&self) -> Duration {
-        self.wait(self.waiting.len())
-            .clamp(Duration::from_millis(100), LONGEST_RETRY)
+        self.estimated_wait(self.queued.len())
+            .clamp(Duration::from_millis(100), MAX_RETRY_AFTER)
     }
 }
 
 impl Ticket<'_> {
-    /// Waits until it is worth looking for a slot; refuses a request that was displaced.
-    pub async fn turn(&mut self, deadline: Instant) -> Result<(), Refusal> {
-        let until = (clock::now() + RECHECK).min(deadline);
+    /// Waits until a slot may be free; refuses a request that was displaced.
+    pub async fn wait(&mut self, deadline: Instant) -> Result<(), Refusal> {
+        let recheck_at = (clock::now() + RECHECK_INTERVAL).min(deadline);
         tokio::select! {
-            woken = &mut self.woken => match woken {
+            wake = &mut self.wake => match wake {
                 Ok(()) => {
-                    self.rejoin();
+                    self.requeue();
                     Ok(())
                 }
                 Err(_) => Err(Refusal::Overloaded(self.queue.retry_after())),
             },
-            _ = clock::sleep_until(until) => Ok(()),
+            _ = clock::sleep_until(recheck_at) => Ok(()),
         }
     }
 
-    /// Takes the old place again, in case the freed slot was of no use.
-    fn rejoin(&mut self) {
-        let (tx, woken) = oneshot::channel();
-        self.queue.state().waiting.insert(self.place, tx);
-        self.woken = woken;
+    /// Queues the request again at its old position, in case the freed slot is unusable for it.
+    fn requeue(&mut self) {
+        let (tx, wake) = oneshot::channel();
+        self.queue.state().queued.insert(self.key, tx);
+        self.wake = wake;
     }
 }
 
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
-        self.queue.state().waiting.remove(&self.place);
+        self.queue.state().queued.remove(&self.key);
     }
 }
--- a/crates/entry/src/claim.rs
+++ b/crates/entry/src/claim.rs
@@ -1,10 +1,10 @@
-//! Claims on idempotency keys, in the platform's table.
+//! Claims on idempotency keys, stored in the platform's table.
 //!
-//! A claim is a value written only if there is none under its key; the platform's table decides
-//! who is first, so no entry needs to know of another. Claims made within a short interval go out
-//! in one transaction. One entry of the failure domain, the claimer, writes for all: that saves
-//! writes and nothing else, so it doesn't matter if two take themselves for the claimer.
-//! docs/DESIGN.md weighs this against other ways.
+//! A claim is a value that is written only if its key is absent. The platform's table decides which
+//! claim is first, so entries need no coordination. Claims made within a short interval are batched
+//! into one transaction. One entry of the failure domain, the claim writer, writes the claims of
+//! all; this only reduces the number of writes, so it is harmless if two entries act as the writer.
+//! docs/DESIGN.md compares this with alternatives.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,149 +17,149 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use wire::{Claim, ClaimOutcome};
 
-/// Claims that may wait to be written; more are refused.
-const MAX_WAITING: usize = 4096;
+/// Maximum length of a claim queue; further claims are refused.
+const MAX_QUEUED: usize = 4096;
 
-/// Transactions on their way at once.
-const MAX_WRITES: usize = 8;
+/// Maximum number of concurrent batch writes of a queue.
+const MAX_CONCURRENT_WRITES: usize = 8;
 
-/// What is written under a key: which request holds it, and where that request was sent.
+/// Stored value of a claim: the request that holds the key, and where it was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
-    /// Request.
+pub struct ClaimRecord {
+    /// Request id.
     pub request: RequestId,
     /// Digest of the request's content.
     pub content: Digest,
-    /// Upstream VM it was sent to.
+    /// Upstream VM that it was sent to.
     pub vm: VmId,
-    /// Where that VM's agent takes requests.
+    /// Address at which the VM's agent accepts requests.
     pub listen: SocketAddr,
-    /// Incarnation of that agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Failure domain of that VM.
+    /// Failure domain of the VM.
     pub domain: DomainName,
-    /// Whether the request is known not to have run and not to be sent any more.
+    /// Whether the request is known not to have run and won't be sent any more.
     pub released: bool,
 }
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Written {
-    /// It took effect.
-    Won,
-    /// Another claim stands.
-    Taken,
-    /// It may have taken effect.
+pub enum WriteOutcome {
+    /// The write took effect.
+    Applied,
+    /// Another claim holds the key.
+    Conflict,
+    /// The write may have taken effect.
     Unknown,
-    /// It did not take effect.
-    Down,
+    /// The write did not take effect.
+    Failed,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingClaim {
     claim: Claim,
     tx: oneshot::Sender<ClaimOutcome>,
 }
 
-/// How claims are gathered.
+/// Batching of claims.
 #[derive(Debug, Clone, Copy)]
-pub struct Gather {
-    /// Time over which claims are gathered.
+pub struct Batching {
+    /// Time over which claims are batched.
     pub interval: Duration,
-    /// Claims in one write.
-    pub batch: usize,
-    /// Time a claim is kept.
+    /// Maximum number of claims in one write.
+    pub max_batch: usize,
+    /// Time for which a claim is retained.
     pub retention: Duration,
 }
 
-/// Writer and reader of claims.
+/// Reader and batching writer of claims.
 #[derive(Debug, Clone)]
 pub struct Claims {
     kv: Kv,
-    gather: Gather,
-    own: mpsc::Sender<Pending>,
-    writer: mpsc::Sender<Pending>,
+    batching: Batching,
+    forward_queue: mpsc::Sender<PendingClaim>,
+    write_queue: mpsc::Sender<PendingClaim>,
 }
 
-/// Key of a workspace's idempotency key.
-pub fn key_of(workspace: &str, key: &str) -> String {
+/// Returns the table key for an idempotency key of a workspace.
+pub fn claim_key(workspace: &str, key: &str) -> String {
     let digest = Digest::of(format!("{workspace}\0{key}").as_bytes());
     format!("claim/{digest}")
 }
 
 impl Claims {
-    /// Starts the writer. `claimer` names the entry that writes for this one, or `None` where this
-    /// one does; `forward` hands claims to it.
-    pub fn start<C, W, F>(kv: Kv, gather: Gather, claimer: C, forward: W) -> Claims
+    /// Starts the queues. `claim_writer` returns the entry that writes for this one, or `None` if
+    /// this entry writes its own; `forward` sends claims to that entry.
+    pub fn start<C, W, F>(kv: Kv, batching: Batching, claim_writer: C, forward: W) -> Claims
     where
         C: Fn() -> Option<SocketAddr> + Send + Sync + 'static,
         W: Fn(SocketAddr, Vec<Claim>) -> F + Send + Sync + 'static,
         F: Future<Output = Vec<ClaimOutcome>> + Send + 'static,
     {
-        let (writer, to_write) = mpsc::channel(MAX_WAITING);
-        let (own, own_claims) = mpsc::channel(MAX_WAITING);
+        let (write_queue, to_write) = mpsc::channel(MAX_QUEUED);
+        let (forward_queue, to_forward) = mpsc::channel(MAX_QUEUED);
         let claims = Claims {
             kv,
-            gather,
-            own,
-            writer,
+            batching,
+            forward_queue,
+            write_queue,
         };
-        let committing = claims.clone();
-        tokio::spawn(gather_claims(to_write, gather, move |batch| {
-            let committing = committing.clone();
-            async move { committing.commit(batch).await }
+        let committer = claims.clone();
+        tokio::spawn(batch_claims(to_write, batching, move |batch| {
+            let committer = committer.clone();
+            async move { committer.commit(batch).await }
         }));
-        let writing = claims.clone();
-        tokio::spawn(gather_claims(own_claims, gather, move |batch| {
-            let forwarded = claimer().map(|to| forward(to, batch.clone()));
-            let writing = writing.clone();
+        let writer = claims.clone();
+        tokio::spawn(batch_claims(to_forward, batching, move |batch| {
+            let forwarded = claim_writer().map(|to| forward(to, batch.clone()));
+            let writer = writer.clone();
             async move {
                 match forwarded {
                     Some(forwarded) => forwarded.await,
-                    None => writing.write_for(batch).await,
+                    None => writer.write_batched(batch).await,
                 }
             }
         }));
         claims
     }
 
-    /// Claims a key for a record.
-    pub async fn claim(&self, key: String, record: &Record) -> Written {
-        let value = serde_json::to_string(record).expect("plain data");
-        let ttl = self.gather.retention;
-        let claimed = enqueue(&self.own, Claim { key, value, ttl }).await;
+    /// Claims a key with a record.
+    pub async fn claim(&self, key: String, record: &ClaimRecord) -> WriteOutcome {
+        let value = serde_json::to_string(record).expect("a claim record is plain data");
+        let ttl = self.batching.retention;
+        let claimed = enqueue(&self.forward_queue, Claim { key, value, ttl }).await;
         match claimed {
-            ClaimOutcome::Won => Written::Won,
-            ClaimOutcome::Taken => Written::Taken,
-            ClaimOutcome::Unavailable => Written::Down,
-            ClaimOutcome::Unknown => Written::Unknown,
+            ClaimOutcome::Won => WriteOutcome::Applied,
+            ClaimOutcome::Taken => WriteOutcome::Conflict,
+            ClaimOutcome::Unavailable => WriteOutcome::Failed,
+            ClaimOutcome::Unknown => WriteOutcome::Unknown,
         }
     }
 
-    /// Takes in claims, of this entry or another, and writes them with what else has gathered.
-    pub async fn write_for(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
-        let written = claims.into_iter().map(|c| enqueue(&self.writer, c));
+    /// Queues claims, of this entry or another, for the next batches and waits for their outcomes.
+    pub async fn write_batched(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
+        let written = claims.into_iter().map(|c| enqueue(&self.write_queue, c));
         join_all(written).await
     }
 
-    /// Replaces a record that still has the tag.
-    pub async fn replace(&self, key: &str, tag: Tag, record: &Record) -> Written {
-        let value = serde_json::to_string(record).expect("plain data");
+    /// Replaces a record if it still has the tag.
+    pub async fn replace(&self, key: &str, tag: Tag, record: &ClaimRecord) -> WriteOutcome {
+        let value = serde_json::to_string(record).expect("a claim record is plain data");
         let claim = Claim {
             key: key.to_owned(),
             value,
-            ttl: self.gather.retention,
+            ttl: self.batching.retention,
         };
         match self.kv.commit(vec![op(&claim, Unless::Changed(tag))]).await {
-            Ok(Ok(_)) => Written::Won,
-            Ok(Err(_)) => Written::Taken,
-            Err(e) if e.may_have_written() => Written::Unknown,
-            Err(_) => Written::Down,
+            Ok(Ok(_)) => WriteOutcome::Applied,
+            Ok(Err(_)) => WriteOutcome::Conflict,
+            Err(e) if e.may_have_written() => WriteOutcome::Unknown,
+            Err(_) => WriteOutcome::Failed,
         }
     }
 
-    /// The record under a key, with its tag.
-    pub async fn read(&self, key: &str) -> Result<Option<(Record, Tag)>, PlatformError> {
+    /// Returns the record under a key, with its tag.
+    pub async fn read(&self, key: &str) -> Result<Option<(ClaimRecord, Tag)>, PlatformError> {
         match self.kv.get(&format!("/kv/{key}"), None).await? {
             ReadResult::Value(buf, tag) => serde_json::from_slice(&buf)
                 .map(|record| Some((record, tag)))
@@ -168,12 +168,12 @@
         }
     }
 
-    /// Writes claims in one transaction; claims whose key is taken are left out and told so.
+    /// Writes claims in one transaction, without those whose key is already taken.
     pub async fn commit(&self, claims: Vec<Claim>) -> Vec<ClaimOutcome> {
         let mut results = vec![ClaimOutcome::Taken; claims.len()];
-        let mut left: Vec<usize> = first_of_each_key(&claims);
-        while !left.is_empty() {
-            let ops = left
+        let mut remaining: Vec<usize> = first_of_each_key(&claims);
+        while !remaining.is_empty() {
+            let ops = remaining
                 .iter()
                 .map(|i| op(&claims[*i], Unless::Present))
                 .collect();
@@ -181,9 +181,9 @@
             let result = match self.kv.commit(ops).await {
                 Ok(Ok(_)) => ClaimOutcome::Won,
                 Ok(Err(taken)) => {
-                    let before = left.len();
-                    left.retain(|i| !taken.contains(&claims[*i].key));
-                    match left.len() < before {
+                    let before = remaining.len();
+                    remaining.retain(|i| !taken.contains(&claims[*i].key));
+                    match remaining.len() < before {
                         true => continue,
                         false => ClaimOutcome::Unknown,
                     }
@@ -191,13 +191,13 @@
                 Err(e) if e.may_have_written() => ClaimOutcome::Unknown,
                 Err(_) => ClaimOutcome::Unavailable,
             };
-            left.drain(..).for_each(|i| results[i] = result);
+            remaining.drain(..).for_each(|i| results[i] = result);
         }
         results
     }
 }
 
-/// Indices of the first claim on each key; later ones in the same batch come too late.
+/// Returns the indices of the first claim on each key; later ones in the same batch lose.
 fn first_of_each_key(claims: &[Claim]) -> Vec<usize> {
     let mut seen: Set<&str> = Set::default();
     (0..claims.len())
@@ -214,28 +214,30 @@
     }
 }
 
-/// Puts a claim in line and waits for what becomes of it.
-async fn enqueue(line: &mpsc::Sender<Pending>, claim: Claim) -> ClaimOutcome {
+/// Queues a claim and waits for its outcome.
+async fn enqueue(queue: &mpsc::Sender<PendingClaim>, claim: Claim) -> ClaimOutcome {
     let (tx, rx) = oneshot::channel();
-    match line.try_send(Pending { claim, tx }) {
+    match queue.try_send(PendingClaim { claim, tx }) {
         Ok(()) => rx.await.unwrap_or(ClaimOutcome::Unknown),
         Err(_) => ClaimOutcome::Unavailable,
     }
 }
 
-/// Gathers claims for half the interval and writes each batch on a task of its own; a claim
-/// passes two such lines, that of its entry and that of the claimer.
-async fn gather_claims<W, F>(mut rx: mpsc::Receiver<Pending>, gather: Gather, write: W)
+/// Batches claims and writes each batch in its own task.
+///
+/// A batch collects for half the interval, because a claim passes through two such queues: its
+/// entry's and the claim writer's.
+async fn batch_claims<W, F>(mut rx: mpsc::Receiver<PendingClaim>, batching: Batching, write: W)
 where
     W: Fn(Vec<Claim>) -> F,
     F: Future<Output = Vec<ClaimOutcome>> + Send + 'static,
 {
-    let writes = Arc::new(Semaphore::new(MAX_WRITES));
+    let writes = Arc::new(Semaphore::new(MAX_CONCURRENT_WRITES));
     while let Some(first) = rx.recv().await {
         let mut batch = vec![first];
-        let until = clock::now() + gather.interval / 2;
-        while batch.len() < gather.batch {
-            match clock::timeout_at(until, rx.recv()).await {
+        let batch_until = clock::now() + batching.interval / 2;
+        while batch.len() < batching.max_batch {
+            match clock::timeout_at(batch_until, rx.recv()).await {
                 Ok(Some(next)) => batch.push(next),
                 Ok(None) | Err(_) => break,
             }
--- a/crates/entry/src/call.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! Parsing and validation of a caller's request.
 
 use std::time::{Duration, Instant};
 
@@ -11,20 +11,20 @@
 
 use crate::refusal::Refusal;
 
-/// Workspace of callers that name none.
-const NO_WORKSPACE: &str = "none";
+/// Workspace of requests that name none.
+const DEFAULT_WORKSPACE: &str = "none";
 
-/// Longest idempotency key, in bytes.
-const MAX_KEY: usize = 255;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 255;
 
-/// Path under which plain services are called.
-const SERVICES: &str = "/services/";
+/// Path prefix of requests to plain services.
+const SERVICES_PREFIX: &str = "/services/";
 
-/// Paths of completions.
-const COMPLETIONS: [&str; 2] = ["/v1/completions", "/v1/chat/completions"];
+/// Paths of completion requests.
+const COMPLETION_PATHS: [&str; 2] = ["/v1/completions", "/v1/chat/completions"];
 
-/// Headers passed on to a back end.
-const PASSED: [&str; 6] = [
+/// Request headers that are forwarded to the upstream.
+const FORWARDED_HEADERS: [&str; 6] = [
     "content-type",
     "accept",
     "if-none-match",
@@ -33,51 +33,51 @@
     "authorization",
 ];
 
-/// What may be done with a request after it was sent once.
+/// Whether a request may be sent again after a first attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Safety {
-    /// It may be sent again.
-    Repeatable,
-    /// It is sent once; a resend by the caller is another request.
-    Once,
-    /// It runs at most once for its idempotency key.
+pub enum RetrySafety {
+    /// The request may be retried.
+    Retryable,
+    /// The request is sent once; a retry by the caller is a new request.
+    SendOnce,
+    /// The request runs at most once for its idempotency key.
     Keyed(String),
 }
 
 /// A caller's request.
 #[derive(Debug, Clone)]
-pub struct Call {
-    /// Id.
+pub struct CallerRequest {
+    /// Request id.
     pub id: RequestId,
-    /// Model or plain service.
+    /// Name of the model or plain service.
     pub model: Model,
-    /// Whether a plain service is meant.
-    pub service: bool,
+    /// Whether the request is for a plain service.
+    pub is_service: bool,
     /// Workspace.
     pub workspace: Workspace,
     /// Method.
     pub method: Method,
-    /// Path and query at the back end.
+    /// Path and query at the upstream.
     pub path: String,
-    /// Headers passed on.
+    /// Forwarded headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// Whether the caller asked for a stream of events.
-    pub stream: bool,
-    /// What may be done after it was sent.
-    pub safety: Safety,
-    /// Priority the caller lowered it to.
+    /// Whether the caller requested an event stream.
+    pub wants_stream: bool,
+    /// Whether it may be sent again after a first attempt.
+    pub retry_safety: RetrySafety,
+    /// Priority requested by the caller, which can only lower the row's.
     pub priority: Option<u8>,
-    /// When it arrived.
-    pub arrived: Instant,
-    /// When its caller gives up.
+    /// Arrival time.
+    pub arrived_at: Instant,
+    /// Time at which the caller gives up.
     pub deadline: Instant,
-    /// Hash of the start of the prompt; 0 where there is none.
-    pub prefix: u64,
+    /// Hash of the prompt's prefix; 0 without a prompt.
+    pub prefix_hash: u64,
 }
 
-/// The fields of a completion's body that matter here.
+/// Fields of a completion request's body that the entry reads.
 #[derive(Debug, Deserialize)]
 struct Completion {
     model: String,
@@ -89,60 +89,60 @@
     messages: Option<serde_json::Value>,
 }
 
-impl Call {
-    /// Reads a request and its body, within the bounds of the settings.
-    pub async fn read(req: Request, cfg: &EntryCfg) -> Result<Call, Refusal> {
-        let arrived = clock::now();
+impl CallerRequest {
+    /// Reads a request and its body, within the limits of the settings.
+    pub async fn read(req: Request, cfg: &EntryCfg) -> Result<CallerRequest, Refusal> {
+        let arrived_at = clock::now();
         let (head, body) = req.into_parts();
         let path = head.uri.path().to_owned();
-        let completion = COMPLETIONS.contains(&path.as_str());
-        let service = path.strip_prefix(SERVICES).map(str::to_owned);
-        if !completion && service.is_none() {
+        let is_completion = COMPLETION_PATHS.contains(&path.as_str());
+        let service = path.strip_prefix(SERVICES_PREFIX).map(str::to_owned);
+        if !is_completion && service.is_none() {
             return Err(Refusal::NoPath);
         }
-        let within = cfg.upkeep.body_timeout;
-        let body = read_body(body, cfg.upkeep.max_body, within)
+        let timeout = cfg.upkeep.body_timeout;
+        let body = read_body(body, cfg.upkeep.max_body, timeout)
             .await
             .map_err(|e| match e {
                 BodyError::TooLarge(limit) => Refusal::TooLarge(limit),
-                BodyError::TimedOut(within) => Refusal::SlowBody(within),
+                BodyError::TimedOut(timeout) => Refusal::SlowBody(timeout),
                 e => Refusal::Malformed(e.to_string()),
             })?;
-        let mut call = Call {
+        let mut request = CallerRequest {
             id: new_request_id(),
             model: String::new(),
-            service: !completion,
-            workspace: read_workspace(&head.headers)?,
-            safety: read_safety(&head.headers, &head.method, !completion)?,
-            priority: read_priority(&head.headers)?,
-            headers: passed(&head.headers),
+            is_service: !is_completion,
+            workspace: parse_workspace(&head.headers)?,
+            retry_safety: parse_retry_safety(&head.headers, &head.method, !is_completion)?,
+            priority: parse_priority(&head.headers)?,
+            headers: forwarded_headers(&head.headers),
             method: head.method,
             path,
             body,
-            stream: false,
-            arrived,
-            deadline: arrived + read_deadline(&head.headers, cfg)?,
-            prefix: 0,
+            wants_stream: false,
+            arrived_at,
+            deadline: arrived_at + parse_deadline(&head.headers, cfg)?,
+            prefix_hash: 0,
         };
         match service {
-            Some(rest) => call.read_service(&rest, head.uri.query())?,
-            None => call.read_completion(cfg.prefix_bytes as usize)?,
+            Some(rest) => request.apply_service(&rest, head.uri.query())?,
+            None => request.apply_completion(cfg.prefix_bytes as usize)?,
         }
-        Ok(call)
+        Ok(request)
     }
 
-    /// Time left.
+    /// Returns the time until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(clock::now())
     }
 
-    /// Whether it must run at most once.
+    /// Returns whether the request must run at most once.
     pub fn is_unsafe(&self) -> bool {
-        self.safety != Safety::Repeatable
+        self.retry_safety != RetrySafety::Retryable
     }
 
-    /// Digest of what an idempotency key stands for.
-    pub fn content(&self) -> Digest {
+    /// Returns the digest of the content that an idempotency key is bound to.
+    pub fn content_digest(&self) -> Digest {
         let mut buf = Vec::with_capacity(self.body.len() + 256);
         for part in [self.method.as_str(), &self.path, &self.model] {
             buf.extend_from_slice(part.as_bytes());
@@ -152,7 +152,7 @@
         Digest::of(&buf)
     }
 
-    fn read_service(&mut self, rest: &str, query: Option<&str>) -> Result<(), Refusal> {
+    fn apply_service(&mut self, rest: &str, query: Option<&str>) -> Result<(), Refusal> {
         let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
         if name.is_empty() {
             return Err(Refusal::NoPath);
@@ -165,7 +165,7 @@
         Ok(())
     }
 
-    fn read_completion(&mut self, prefix_bytes: usize) -> Result<(), Refusal> {
+    fn apply_completion(&mut self, prefix_bytes: usize) -> Result<(), Refusal> {
         if self.method != Method::POST {
             return Err(Refusal::Malformed(
                 "a completion is asked for by POST".into(),
@@ -174,14 +174,14 @@
         let completion: Completion = serde_json::from_slice(&self.body)
             .map_err(|e| Refusal::Malformed(format!("the body is no completion request ({e})")))?;
         let prompt = completion.prompt.or(completion.messages);
-        self.prefix = prefix_hash(prompt, prefix_bytes);
+        self.prefix_hash = hash_prefix(prompt, prefix_bytes);
         self.model = completion.model;
-        self.stream = completion.stream;
+        self.wants_stream = completion.stream;
         Ok(())
     }
 }
 
-fn prefix_hash(prompt: Option<serde_json::Value>, bytes: usize) -> u64 {
+fn hash_prefix(prompt: Option<serde_json::Value>, bytes: usize) -> u64 {
     let text = match prompt {
         Some(serde_json::Value::String(s)) => s,
         Some(value) => value.to_string(),
@@ -198,8 +198,8 @@
     u64::from_le_bytes(first)
 }
 
-fn passed(headers: &HeaderMap) -> HeaderMap {
-    PASSED
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    FORWARDED_HEADERS
         .iter()
         .filter_map(|name| {
             let name = hyper::header::HeaderName::from_static(name);
@@ -208,13 +208,13 @@
         .collect()
 }
 
-fn read_workspace(headers: &HeaderMap) -> Result<Workspace, Refusal> {
+fn parse_workspace(headers: &HeaderMap) -> Result<Workspace, Refusal> {
     let name = match headers.get(header::WORKSPACE) {
-        None => return Ok(NO_WORKSPACE.to_owned()),
+        None => return Ok(DEFAULT_WORKSPACE.to_owned()),
         Some(value) => value.to_str().unwrap_or_default(),
     };
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    match !name.is_empty() && name.len() <= 64 && name.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    match !name.is_empty() && name.len() <= 64 && name.chars().all(is_allowed) {
         true => Ok(name.to_owned()),
         false => Err(malformed(
             header::WORKSPACE,
@@ -223,11 +223,15 @@
     }
 }
 
-fn read_safety(headers: &HeaderMap, method: &Method, service: bool) -> Result<Safety, Refusal> {
+fn parse_retry_safety(
+    headers: &HeaderMap,
+    method: &Method,
+    is_service: bool,
+) -> Result<RetrySafety, Refusal> {
     let key = match headers.get(header::IDEMPOTENCY_KEY) {
         None => None,
         Some(value) => match value.to_str() {
-            Ok(key) if !key.is_empty() && key.len() <= MAX_KEY => Some(key.to_owned()),
+            Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Some(key.to_owned()),
             _ => {
                 return Err(malformed(
                     header::IDEMPOTENCY_KEY,
@@ -236,20 +240,20 @@
             }
         },
     };
-    let marked = match headers.get(header::UNSAFE).map(|v| v.as_bytes()) {
+    let marked_unsafe = match headers.get(header::UNSAFE).map(|v| v.as_bytes()) {
         None | Some(b"false") => false,
         Some(b"true") => true,
         Some(_) => return Err(malformed(header::UNSAFE, "true or false")),
     };
-    let by_method = service && !method.is_idempotent();
+    let unsafe_method = is_service && !method.is_idempotent();
     Ok(match key {
-        Some(key) => Safety::Keyed(key),
-        None if marked || by_method => Safety::Once,
-        None => Safety::Repeatable,
+        Some(key) => RetrySafety::Keyed(key),
+        None if marked_unsafe || unsafe_method => RetrySafety::SendOnce,
+        None => RetrySafety::Retryable,
     })
 }
 
-fn read_priority(headers: &HeaderMap) -> Result<Option<u8>, Refusal> {
+fn parse_priority(headers: &HeaderMap) -> Result<Option<u8>, Refusal> {
     match web::header(headers, header::PRIORITY).map(str::parse::<u8>) {
         None => Ok(None),
         Some(Ok(n)) if n <= 9 => Ok(Some(n)),
@@ -257,7 +261,7 @@
     }
 }
 
-fn read_deadline(headers: &HeaderMap, cfg: &EntryCfg) -> Result<Duration, Refusal> {
+fn parse_deadline(headers: &HeaderMap, cfg: &EntryCfg) -> Result<Duration, Refusal> {
     match web::header(headers, header::DEADLINE).map(str::parse::<u64>) {
         None => Ok(cfg.default_deadline),
         Some(Ok(ms)) if ms > 0 => Ok(Duration::from_millis(ms).min(cfg.max_deadline)),
--- a/crates/entry/src/route/running.rs
+++ b/crates/entry/src/route/running.rs
@@ -1,35 +1,39 @@
-//! A request counted as running, from its choice of an upstream to its last byte.
+//! A running request, from the choice of its upstream to the last byte of its response.
 
 use std::sync::Arc;
 
 use crate::Entry;
 use crate::membership::upstream::{Slot, Upstream};
 
-/// A running request; frees its slot when dropped.
+/// Running request that occupies a slot; frees it when dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningRequest {
     slot: Option<Slot>,
     entry: Arc<Entry>,
 }
 
-impl Running {
-    /// Counts a request as running.
-    pub fn new(entry: &Arc<Entry>, slot: Slot) -> Running {
-        Running {
+impl RunningRequest {
+    /// Creates a running request in a slot.
+    pub fn new(entry: &Arc<Entry>, slot: Slot) -> RunningRequest {
+        RunningRequest {
             slot: Some(slot),
             entry: entry.clone(),
         }
     }
 
-    /// Where it runs.
+    /// Returns the upstream that runs it.
     pub fn upstream(&self) -> &Arc<Upstream> {
-        &self.slot.as_ref().expect("held until dropped").upstream
+        &self
+            .slot
+            .as_ref()
+            .expect("the slot is held until drop")
+            .upstream
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         self.slot = None;
-        self.entry.queue.freed();
+        self.entry.queue.slot_freed();
     }
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts an entry, and stops it without cutting off a request.
+//! Startup and graceful shutdown of an entry.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,29 +18,29 @@
 use wire::counted::Traffic;
 
 use crate::admission::Queue;
-use crate::claim::{Claims, Gather};
+use crate::claim::{Batching, Claims};
 use crate::limit::Limiter;
 use crate::membership::fleet::Fleet;
 use crate::membership::links::{AddressBook, ClaimJob};
 use crate::membership::{control, links};
-use crate::retry::RetryBudget;
-use crate::route::share::Shares;
+use crate::retry_budget::RetryBudget;
+use crate::route::split::TrafficSplit;
 use crate::telemetry::{BurnBounds, Telemetry};
-use crate::{Entry, JOIN_TIME, Readiness, admin, poll, serve};
+use crate::{Entry, JOIN_WINDOW, Readiness, admin, poll, serve};
 
 /// Log prefix of this part.
 const PART: &str = "entry";
 
-/// Batches of claims that may wait to be forwarded.
-const MAX_JOBS: usize = 256;
+/// Maximum number of claim batches queued for forwarding.
+const MAX_CLAIM_JOBS: usize = 256;
 
-/// Time between two looks at whether requests can be sent on.
-const READY_LOOK: Duration = Duration::from_millis(10);
+/// Interval at which readiness is checked during startup.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why an entry could not start.
+/// Startup error of an entry.
 #[derive(Debug, Display)]
 pub enum EntryError {
-    /// {0} can't be listened on ({1}); free the address or change `{2}` in the settings
+    /// can't listen on {0} ({1}); free the address or change `{2}` in the settings
     Listen(SocketAddr, std::io::Error, &'static str),
     /// the control thread can't be started ({0}); free some memory
     Thread(std::io::Error),
@@ -48,15 +48,15 @@
 
 impl std::error::Error for EntryError {}
 
-/// Renders the metrics.
+/// Function that renders the metrics.
 pub type Render = Arc<dyn Fn() -> String + Send + Sync>;
 
-/// Runs an entry until `stop`, then lets what runs end.
+/// Runs an entry until `stop`, then drains the requests in flight.
 pub async fn run(cfg: EntryCfg, mut stop: StopSignal, render: Render) -> Result<(), EntryError> {
     let control = bind(cfg.control, "control").await?;
     let admin = bind(cfg.upkeep.admin, "admin").await?;
     let upkeep = cfg.upkeep.clone();
-    let (jobs_tx, jobs_rx) = mpsc::channel(MAX_JOBS);
+    let (jobs_tx, jobs_rx) = mpsc::channel(MAX_CLAIM_JOBS);
     let entry = new_entry(cfg, jobs_tx);
     start_control(&entry, control, jobs_rx)?;
     start_polls(&entry);
@@ -68,22 +68,22 @@
         closing.clone(),
         move |req| admin::handle(admin_entry.clone(), req, render.clone()),
     ));
-    until_ready(&entry, &stop).await;
+    wait_until_ready(&entry, &stop).await;
     let callers = bind(entry.cfg.listen, "listen").await?;
     let listen = entry.cfg.listen;
     info!(target: PART, "{PART}: {} in {} listens on {listen}", upkeep.vm, upkeep.domain);
-    let bounds = ServerLimits {
+    let limits = ServerLimits {
         max_connections: upkeep.max_connections,
         header_timeout: upkeep.header_timeout,
         max_header_bytes: upkeep.max_header,
         drain_timeout: upkeep.drain_timeout,
     };
     let caller_entry = entry.clone();
-    let caller_server = tokio::spawn(web::serve(callers, bounds, closing, move |req| {
+    let caller_server = tokio::spawn(web::serve(callers, limits, closing, move |req| {
         serve::handle(caller_entry.clone(), req)
     }));
     let _ = stop.wait_for(|stopping| *stopping).await;
-    info!(target: PART, "{PART}: stopping; running requests go on");
+    info!(target: PART, "{PART}: stopping; draining requests in flight");
     entry.begin_stop();
     tokio::time::sleep(upkeep.stop_notice).await;
     let _ = close.send(true);
@@ -93,15 +93,17 @@
     Ok(())
 }
 
-/// Waits to listen for callers until requests can be sent on; a balancer meets a closed port
-/// meanwhile and asks another entry. An entry that stays without table or agents listens all the
-/// same, and says so to each caller.
-async fn until_ready(entry: &Entry, stop: &StopSignal) {
-    while entry.readiness() != Readiness::Ready && clock::since(entry.begun) < JOIN_TIME {
+/// Waits until requests can be forwarded, but at most [`JOIN_WINDOW`].
+///
+/// The port for callers is opened afterwards: a load balancer that finds it closed tries another
+/// entry. An entry that still has no table or no agents by then listens all the same and refuses
+/// requests with that reason.
+async fn wait_until_ready(entry: &Entry, stop: &StopSignal) {
+    while entry.readiness() != Readiness::Ready && clock::since(entry.started_at) < JOIN_WINDOW {
         if *stop.borrow() {
             return;
         }
-        tokio::time::sleep(READY_LOOK).await;
+        tokio::time::sleep(READY_POLL_INTERVAL).await;
     }
 }
 
@@ -114,18 +116,18 @@
 fn new_entry(cfg: EntryCfg, jobs: mpsc::Sender<ClaimJob>) -> Arc<Entry> {
     let upkeep = cfg.upkeep.clone();
     let kv = Kv::new(upkeep.platform.table, upkeep.platform.dial());
-    let gather = Gather {
+    let batching = Batching {
         interval: cfg.claim_interval,
-        batch: cfg.claim_batch as usize,
+        max_batch: cfg.claim_batch as usize,
         retention: cfg.claim_retention,
     };
-    let bounds = BurnBounds {
+    let burn_bounds = BurnBounds {
         first_token: cfg.first_token_bound,
         between_tokens: cfg.token_bound,
     };
     Arc::new_cyclic(|weak: &std::sync::Weak<Entry>| {
         let weak = weak.clone();
-        let claimer = move || weak.upgrade().and_then(|entry| claimer(&entry));
+        let claim_writer = move || weak.upgrade().and_then(|entry| claim_writer(&entry));
         let forward = move |to, claims: Vec<wire::Claim>| {
             let jobs = jobs.clone();
             async move {
@@ -138,36 +140,36 @@
             }
         };
         Entry {
-            force: Arc::new(ActiveTable::new(upkeep.domains.clone())),
+            active_table: Arc::new(ActiveTable::new(upkeep.domains.clone())),
             fleet: Fleet::new(upkeep.domain.clone()),
             limiter: Limiter::default(),
             queue: Queue::new(cfg.max_queue as usize),
-            retries: RetryBudget::new(cfg.retry_budget),
-            shares: Shares::default(),
-            claims: Claims::start(kv, gather, claimer, forward),
+            retry_budget: RetryBudget::new(cfg.retry_budget),
+            traffic_split: TrafficSplit::default(),
+            claims: Claims::start(kv, batching, claim_writer, forward),
             client: Client::new(DialOptions {
                 timeout: cfg.connect_timeout,
                 keep_alive: true,
                 source: upkeep.source,
             }),
-            telemetry: Arc::new(Telemetry::new(bounds)),
-            traffic: Traffic::default(),
-            book: AddressBook::new(cfg.control_reached(), &cfg.entries),
-            begun: clock::now(),
+            telemetry: Arc::new(Telemetry::new(burn_bounds)),
+            control_traffic: Traffic::default(),
+            address_book: AddressBook::new(cfg.control_reached(), &cfg.entries),
+            started_at: clock::now(),
             stopping: AtomicBool::new(false),
             cfg,
         }
     })
 }
 
-/// The entry of the failure domain that writes claims for all; `None` where this one does.
-fn claimer(entry: &Entry) -> Option<SocketAddr> {
+/// Returns the entry that writes the claims of the whole failure domain; `None` if it is this one.
+fn claim_writer(entry: &Entry) -> Option<SocketAddr> {
     let own = (rank(&[], &entry.cfg.upkeep.vm), None);
     entry
         .fleet
         .siblings()
         .into_iter()
-        .map(|e| (rank(&[], &e.note.vm), Some(e.note.control)))
+        .map(|e| (rank(&[], &e.update.vm), Some(e.update.control)))
         .chain([own])
         .max_by_key(|(rank, _)| *rank)
         .and_then(|(_, control)| control)
@@ -185,7 +187,7 @@
         let listener = TcpListener::from_std(listener).expect("a bound listener");
         tokio::join!(
             control::listen(entry.clone(), listener),
-            links::keep(entry, jobs)
+            links::maintain_links(entry, jobs)
         );
     })
     .map(drop)
@@ -200,11 +202,11 @@
         let members = Members::new(Kv::new(addr, cfg.dial()));
         tokio::spawn(poll::members(entry.clone(), members));
     }
-    let gauge = entry.clone();
+    let gauge_entry = entry.clone();
     tokio::spawn(async move {
         loop {
-            metrics::gauge!("driftnotch_waiting").set(gauge.queue.len() as f64);
-            metrics::gauge!("driftnotch_upstreams").set(gauge.fleet.local().len() as f64);
+            metrics::gauge!("driftnotch_waiting").set(gauge_entry.queue.len() as f64);
+            metrics::gauge!("driftnotch_upstreams").set(gauge_entry.fleet.local().len() as f64);
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
     });
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -1,6 +1,6 @@
-//! Metrics of an entry, and the counts of its service-level burn.
+//! Metrics of an entry, and the event counts of its error-budget burn.
 //!
-//! docs/OPERATING.md lists the metrics with what to do when they rise.
+//! docs/OPERATING.md lists the metrics and what to do when they rise.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,13 +8,13 @@
 use base::{Outcome, Set};
 use burn::{EntryHistory, Event, History};
 
-/// Workspaces with a label of their own; all others share one.
-const MAX_WORKSPACES: usize = 200;
+/// Maximum number of workspaces with their own label; further ones share one.
+const MAX_WORKSPACE_LABELS: usize = 200;
 
-/// Label of workspaces beyond that.
-const OTHER: &str = "other";
+/// Label shared by the further workspaces.
+const OTHER_WORKSPACES: &str = "other";
 
-/// Bounds that the burn is counted by.
+/// Latency bounds that burn events are counted by.
 #[derive(Debug, Clone, Copy)]
 pub struct BurnBounds {
     /// Bound on the time to the first token.
@@ -34,39 +34,50 @@
 #[derive(Debug)]
 pub struct Telemetry {
     bounds: BurnBounds,
-    begun: Instant,
+    started_at: Instant,
     workspaces: Mutex<Set<String>>,
     history: Mutex<History>,
 }
 
 impl Telemetry {
-    /// Metrics that start now.
+    /// Creates metrics whose history starts now.
     pub fn new(bounds: BurnBounds) -> Telemetry {
         Telemetry {
             bounds,
-            begun: clock::now(),
+            started_at: clock::now(),
             workspaces: Mutex::default(),
             history: Mutex::default(),
         }
     }
 
-    /// Labels of a request; a row of `""` stands for none.
+    /// Returns the labels of a request; an empty row stands for none.
     pub fn labels(&self, row: String, workspace: &str) -> Labels {
         let mut known = self
             .workspaces
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let named = known.contains(workspace)
-            || known.len() < MAX_WORKSPACES && known.insert(workspace.to_owned());
+        let has_label = known.contains(workspace)
+            || known.len() < MAX_WORKSPACE_LABELS && known.insert(workspace.to_owned());
         Labels {
             row,
-            workspace: if named { workspace } else { OTHER }.to_owned(),
+            workspace: if has_label {
+                workspace
+            } else {
+                OTHER_WORKSPACES
+            }
+            .to_owned(),
         }
     }
 
-    /// Counts a request that came to its end. One that ended by its caller's own fault is no
-    /// event of the burn.
-    pub fn ended(&self, labels: &Labels, outcome: Outcome, code: &str, own_fault: bool) {
+    /// Counts a completed request. A request that failed through a caller's error doesn't count
+    /// towards the burn.
+    pub fn record_completed(
+        &self,
+        labels: &Labels,
+        outcome: Outcome,
+        code: &str,
+        caller_error: bool,
+    ) {
         metrics::counter!(
             "driftnotch_requests_total",
             "row" => labels.row.clone(),
@@ -75,33 +86,33 @@
             "code" => code.to_owned(),
         )
         .increment(1);
-        if !own_fault {
+        if !caller_error {
             let served = outcome == Outcome::Done;
-            self.note(labels, Event::Completed { served });
+            self.record_event(labels, Event::Completed { served });
         }
     }
 
-    /// Notes the time to the first token.
-    pub fn first_token(&self, labels: &Labels, after: Duration) {
+    /// Records the time to the first token.
+    pub fn record_first_token(&self, labels: &Labels, elapsed: Duration) {
         metrics::histogram!(
             "driftnotch_first_token_seconds",
             "row" => labels.row.clone(),
             "workspace" => labels.workspace.clone(),
         )
-        .record(after.as_secs_f64());
-        let late = after > self.bounds.first_token;
-        self.note(labels, Event::FirstToken { late });
+        .record(elapsed.as_secs_f64());
+        let late = elapsed > self.bounds.first_token;
+        self.record_event(labels, Event::FirstToken { late });
     }
 
-    /// Notes the mean time between the tokens of a stream.
-    pub fn between_tokens(&self, labels: &Labels, mean: Duration) {
+    /// Records the mean time between the tokens of a stream.
+    pub fn record_token_gap(&self, labels: &Labels, mean_gap: Duration) {
         metrics::histogram!("driftnotch_between_tokens_seconds", "row" => labels.row.clone())
-            .record(mean.as_secs_f64());
-        let slow = mean > self.bounds.between_tokens;
-        self.note(labels, Event::Stream { slow });
+            .record(mean_gap.as_secs_f64());
+        let slow = mean_gap > self.bounds.between_tokens;
+        self.record_event(labels, Event::Stream { slow });
     }
 
-    /// The counts by the minute.
+    /// Returns the event counts by minute.
     pub fn history(&self, domain: &str) -> EntryHistory {
         EntryHistory {
             domain: domain.to_owned(),
@@ -109,13 +120,13 @@
         }
     }
 
-    fn note(&self, labels: &Labels, event: Event) {
+    fn record_event(&self, labels: &Labels, event: Event) {
         self.lock()
             .record(self.minute(), &labels.row, &labels.workspace, event);
     }
 
     fn minute(&self) -> u64 {
-        clock::since(self.begun).as_secs() / 60
+        clock::since(self.started_at).as_secs() / 60
     }
 
     fn lock(&self) -> MutexGuard<'_, History> {
