--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -32,7 +32,7 @@
 pub async fn handle(agent: Arc<Agent>, req: Request, metrics: Render) -> Response {
     match req.uri().path() {
         "/health" => web::text(200, "up\n"),
-        "/ready" if agent.leaving() => web::text(503, "leaving\n"),
+        "/ready" if agent.is_leaving() => web::text(503, "leaving\n"),
         "/ready" if live(&agent) == 0 => web::text(503, "no version is live\n"),
         "/ready" => web::text(200, "ready\n"),
         "/metrics" => web::text(200, metrics()),
@@ -53,20 +53,20 @@
     Status {
         vm: agent.cfg.upkeep.vm.clone(),
         domain: agent.cfg.upkeep.domain.clone(),
-        leaving: agent.leaving(),
-        superseded: agent.superseded(),
-        revision: agent.force.revision(),
+        leaving: agent.is_leaving(),
+        superseded: agent.is_superseded(),
+        revision: agent.active_table.revision(),
         age_ms: agent
-            .force
+            .active_table
             .confirmation_age()
             .map(|age| age.as_millis() as u64),
         running: agent.gate.running(),
         live: live(agent),
         chunk_bytes: agent.chunks().stored_bytes(),
-        answer_bytes: agent.ledger.bytes(),
-        origin_bytes: read(&agent.drawn.origin),
-        peer_bytes: read(&agent.drawn.peers),
-        bad_chunks: read(&agent.drawn.bad),
+        answer_bytes: agent.ledger.stored_bytes(),
+        origin_bytes: read(&agent.chunk_counts.origin),
+        peer_bytes: read(&agent.chunk_counts.peers),
+        bad_chunks: read(&agent.chunk_counts.bad),
         control_bytes: agent.traffic.bytes(),
     }
 }
--- a/crates/agent/src/bring.rs
+++ b/crates/agent/src/chunk.rs
@@ -18,9 +18,9 @@
 use weights::{Manifest, StoreError};
 use wire::Peer;
 
-use crate::peer::read_short_map;
+use crate::peer::decode_chunk_map;
 use crate::swarm::Source;
-use crate::{Agent, PeersJob};
+use crate::{Agent, PeersRequest};
 
 /// Log prefix of this part.
 const PART: &str = "bring";
@@ -51,7 +51,7 @@
 
 /// Takes one chunk from its source, checks and keeps it, and stages it at the engine. Gives back
 /// what the source says it has, where it says so.
-pub async fn bring(
+pub async fn fetch_chunk(
     agent: &Agent,
     version: Digest,
     manifest: &Manifest,
@@ -80,7 +80,10 @@
     source: Source,
 ) -> Result<(Bytes, Option<Vec<bool>>), ChunkError> {
     let (first, end) = manifest.range(i);
-    agent.down.weights((end - first) as usize).await;
+    agent
+        .download_pacer
+        .wait_for_weights((end - first) as usize)
+        .await;
     match source {
         Source::Origin => {
             let buf = agent
@@ -88,7 +91,7 @@
                 .range(version, first, end)
                 .await
                 .map_err(|e| ChunkError::Source(e.to_string()))?;
-            count(&agent.drawn.origin, "origin", buf.len());
+            count(&agent.chunk_counts.origin, "origin", buf.len());
             Ok((buf, None))
         }
         Source::Peer(addr) => {
@@ -101,15 +104,15 @@
                 agent.cfg.chunk_timeout,
             )
             .await?;
-            count(&agent.drawn.peers, "peer", buf.len());
-            let have = web::header(&headers, header::HAVE).map(read_short_map);
+            count(&agent.chunk_counts.peers, "peer", buf.len());
+            let have = web::header(&headers, header::HAVE).map(decode_chunk_map);
             Ok((buf, have))
         }
     }
 }
 
-fn count(drawn: &AtomicU64, from: &'static str, n: usize) {
-    drawn.fetch_add(n as u64, Ordering::Relaxed);
+fn count(chunk_counts: &AtomicU64, from: &'static str, n: usize) {
+    chunk_counts.fetch_add(n as u64, Ordering::Relaxed);
     metrics::counter!("driftnotch_chunk_bytes_total", "direction" => from).increment(n as u64);
 }
 
@@ -144,7 +147,11 @@
 
 /// Which chunks a peer says it has; none of a version it doesn't know. `None` where it doesn't
 /// answer soon.
-pub async fn have(agent: &Agent, addr: SocketAddr, version: Digest) -> Option<Vec<bool>> {
+pub async fn fetch_chunk_map(
+    agent: &Agent,
+    addr: SocketAddr,
+    version: Digest,
+) -> Option<Vec<bool>> {
     let path = format!("/have/{version}");
     let limit = weights::manifest::MAX_CHUNKS;
     match get(agent, addr, &path, limit, LOOK_TIMEOUT).await {
@@ -155,9 +162,13 @@
 }
 
 /// Agents that fetch or hold a version, by an entry; `None` where none can be asked.
-pub async fn ask_peers(agent: &Agent, version: Version) -> Option<Vec<Peer>> {
+pub async fn request_peers(agent: &Agent, version: Version) -> Option<Vec<Peer>> {
     let (tx, rx) = oneshot::channel();
-    agent.peers.send(PeersJob { version, tx }).await.ok()?;
+    agent
+        .peers_requests
+        .send(PeersRequest { version, tx })
+        .await
+        .ok()?;
     rx.await.ok()
 }
 
@@ -186,7 +197,7 @@
 }
 
 async fn manifest_of_peers(agent: &Agent, version: Digest) -> Option<Manifest> {
-    let peers = ask_peers(agent, Version::Weights(version)).await?;
+    let peers = request_peers(agent, Version::Weights(version)).await?;
     let own = &agent.cfg.upkeep.vm;
     let others: Vec<Peer> = peers.into_iter().filter(|p| p.vm != *own).collect();
     let peer = others.choose(&mut rand::rng())?;
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -62,13 +62,13 @@
 #[derive(Debug, Display)]
 pub enum EngineError {
     /// the engine is down or unreachable ({0}); check that it runs
-    Down(String),
+    Unreachable(String),
     /// the engine took an order with the later fencing number {0}; another agent runs this VM
     Fenced(Fence),
     /// the engine refused ({0}: {1}); check its log
     Refused(u16, String),
     /// the engine's answer makes no sense ({0}); check its address in the settings
-    Garbled(String),
+    InvalidResponse(String),
 }
 
 impl std::error::Error for EngineError {}
@@ -98,7 +98,7 @@
         let buf = self
             .call(Method::GET, "/state", Bytes::new(), 0, self.timeout)
             .await?;
-        serde_json::from_slice(&buf).map_err(|e| EngineError::Garbled(e.to_string()))
+        serde_json::from_slice(&buf).map_err(|e| EngineError::InvalidResponse(e.to_string()))
     }
 
     /// Hands it a verified chunk of a version.
@@ -144,16 +144,16 @@
             .uri(path)
             .header(header::ENGINE_FENCE, fence)
             .body(web::full(buf))
-            .map_err(|e| EngineError::Garbled(e.to_string()))?;
+            .map_err(|e| EngineError::InvalidResponse(e.to_string()))?;
         let res = self
             .client
             .send(self.addr, req, within)
             .await
-            .map_err(|e| EngineError::Down(e.to_string()))?;
+            .map_err(|e| EngineError::Unreachable(e.to_string()))?;
         let (head, body) = res.into_parts();
         let buf = read_body(body, MAX_STATE, within)
             .await
-            .map_err(|e| EngineError::Down(e.to_string()))?;
+            .map_err(|e| EngineError::Unreachable(e.to_string()))?;
         match head.status {
             status if status.is_success() => Ok(buf),
             StatusCode::PRECONDITION_FAILED => {
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -15,8 +15,8 @@
 use wire::Peer;
 
 use crate::Agent;
-use crate::bring::{ChunkError, ask_peers, bring, find_manifest, have};
-use crate::swarm::{Rule, Source, Swarm};
+use crate::chunk::{ChunkError, fetch_chunk, fetch_chunk_map, find_manifest, request_peers};
+use crate::swarm::{Source, SourcePolicy, Swarm};
 
 /// Log prefix of this part.
 const PART: &str = "fetch";
@@ -42,7 +42,7 @@
     agent: Arc<Agent>,
     version: Digest,
     manifest: Arc<Manifest>,
-    rule: Rule,
+    policy: SourcePolicy,
     swarm: Swarm,
     wanted: Set<usize>,
     begun: Instant,
@@ -70,7 +70,7 @@
     agent.manifests().insert(version, manifest.clone());
     let now = clock::now();
     let mut fetch = Fetch {
-        rule: rule(&agent, version),
+        policy: rule(&agent, version),
         swarm: Swarm::default(),
         wanted: (0..manifest.chunks.len()).collect(),
         begun: now,
@@ -88,21 +88,21 @@
     fetch.manifest
 }
 
-fn rule(agent: &Agent, version: Digest) -> Rule {
-    let (view, domains) = (agent.force.current(), agent.force.domains());
+fn rule(agent: &Agent, version: Digest) -> SourcePolicy {
+    let (view, domains) = (agent.active_table.current(), agent.active_table.domains());
     let version = Version::Weights(version);
     let permits = |domain: &&String| view.table.permits_weights(&version, domain, domains);
     let permitted = domains.names().filter(permits).cloned().collect();
-    Rule {
+    SourcePolicy {
         vm: agent.cfg.upkeep.vm.clone(),
         domain: agent.cfg.upkeep.domain.clone(),
         permitted,
-        settle: SETTLE,
-        per_domain: agent.cfg.origin_copies == "domain",
-        few_sources: false,
-        patience: agent.cfg.origin_patience,
-        bad_chunks: agent.cfg.bad_chunks,
-        bad_time: agent.cfg.bad_time,
+        settle_time: SETTLE,
+        copy_per_domain: agent.cfg.origin_copies == "domain",
+        limit_sources: false,
+        origin_wait: agent.cfg.origin_patience,
+        max_bad_chunks: agent.cfg.bad_chunks,
+        ban_time: agent.cfg.bad_time,
     }
 }
 
@@ -132,23 +132,23 @@
 
     async fn ask_entries(&mut self) {
         let version = Version::Weights(self.version);
-        if let Some(peers) = ask_peers(&self.agent, version).await {
-            self.swarm.set_peers(&self.rule.vm, peers);
+        if let Some(peers) = request_peers(&self.agent, version).await {
+            self.swarm.set_peers(&self.policy.vm, peers);
         }
     }
 
     async fn look_at_peers(&mut self) {
-        let near = self.sample(|p| p.domain == self.rule.domain, LOOK_AT[0]);
-        let far = self.sample(|p| p.domain != self.rule.domain, LOOK_AT[1]);
+        let near = self.sample(|p| p.domain == self.policy.domain, LOOK_AT[0]);
+        let far = self.sample(|p| p.domain != self.policy.domain, LOOK_AT[1]);
         let mut looks = JoinSet::new();
         for addr in near.into_iter().chain(far) {
             let (agent, version) = (self.agent.clone(), self.version);
-            looks.spawn(async move { (addr, have(&agent, addr, version).await) });
+            looks.spawn(async move { (addr, fetch_chunk_map(&agent, addr, version).await) });
         }
         while let Some(looked) = looks.join_next().await {
             match looked {
                 Ok((addr, Some(have))) => self.swarm.set_have(addr, have),
-                Ok((addr, None)) => self.swarm.silent(addr),
+                Ok((addr, None)) => self.swarm.record_unresponsive(addr),
                 Err(_) => {}
             }
         }
@@ -159,7 +159,7 @@
             .swarm
             .peers()
             .iter()
-            .filter(|p| of(p) && self.swarm.may_ask(p.addr, &self.rule))
+            .filter(|p| of(p) && self.swarm.can_request(p.addr, &self.policy))
             .map(|p| p.addr)
             .collect();
         addrs.sample(&mut rand::rng(), n).copied().collect()
@@ -180,13 +180,13 @@
             }
             self.from_origin += usize::from(from_origin);
             if let Source::Peer(addr) = source {
-                self.swarm.begun(addr);
+                self.swarm.record_started(addr);
             }
             self.in_flight.insert(i);
             let (agent, version, manifest) =
                 (self.agent.clone(), self.version, self.manifest.clone());
             fetching.spawn(async move {
-                let result = bring(&agent, version, &manifest, i, held, source).await;
+                let result = fetch_chunk(&agent, version, &manifest, i, held, source).await;
                 Fetched {
                     i,
                     source,
@@ -201,7 +201,7 @@
     /// another version.
     fn most_urgent(&self) -> Vec<(usize, Source, Option<Bytes>)> {
         let (waited, stalled) = (clock::since(self.begun), clock::since(self.progress));
-        let choosing = self.swarm.choosing(&self.rule, waited, stalled);
+        let selector = self.swarm.selector(&self.policy, waited, stalled);
         let mut ready: Vec<_> = self
             .wanted
             .difference(&self.in_flight)
@@ -210,7 +210,7 @@
                 if let Some(buf) = self.agent.chunks().get(chunk) {
                     return Some(((0, 0), *i, Source::Origin, Some(buf)));
                 }
-                let choice = choosing.choose(*i, chunk)?;
+                let choice = selector.choose(*i, chunk)?;
                 Some((choice.urgency, *i, choice.source, None))
             })
             .collect();
@@ -227,7 +227,7 @@
         self.in_flight.remove(&i);
         self.from_origin -= usize::from(fetched.from_origin);
         if let Source::Peer(addr) = source {
-            self.swarm.ended(addr);
+            self.swarm.record_completed(addr);
         }
         match (fetched.result, source) {
             (Ok(have), _) => {
@@ -243,19 +243,19 @@
                 let permille = (all - self.wanted.len()) * 1000 / all;
                 self.permille.store(permille as u64, Ordering::Relaxed);
             }
-            (Err(ChunkError::Busy), Source::Peer(addr)) => self.swarm.busy(addr),
-            (Err(ChunkError::Absent), Source::Peer(addr)) => self.swarm.lacks(addr),
+            (Err(ChunkError::Busy), Source::Peer(addr)) => self.swarm.record_busy(addr),
+            (Err(ChunkError::Absent), Source::Peer(addr)) => self.swarm.record_absent(addr),
             (Err(ChunkError::Bad(e)), source) => {
                 warn!(target: PART, "{PART}: a bad chunk came from {source:?}: {e}");
-                self.agent.drawn.bad.fetch_add(1, Ordering::Relaxed);
+                self.agent.chunk_counts.bad.fetch_add(1, Ordering::Relaxed);
                 metrics::counter!("driftnotch_bad_chunks_total").increment(1);
                 if let Source::Peer(addr) = source {
-                    self.swarm.bad(addr, &self.rule);
+                    self.swarm.record_bad_chunk(addr, &self.policy);
                 }
             }
             (Err(ChunkError::Source(why)), Source::Peer(addr)) => {
                 debug!(target: PART, "{PART}: {addr} gave no chunk {i}: {why}");
-                self.swarm.silent(addr);
+                self.swarm.record_unresponsive(addr);
             }
             (Err(e), source) => debug!(target: PART, "{PART}: no chunk {i} from {source:?}: {e}"),
         }
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -14,11 +14,11 @@
 use table::{ActiveTable, Version};
 use tokio::sync::Notify;
 
-use crate::ask::Ask;
+use crate::metadata::RequestMetadata;
 
 /// Why a request was refused for certain.
 #[derive(Debug, Clone, Copy, Display, PartialEq, Eq)]
-pub enum Closed {
+pub enum Refusal {
     /// leaving
     Leaving,
     /// place
@@ -55,12 +55,12 @@
 
 /// A request that was let in; counted until dropped.
 #[derive(Debug)]
-pub struct Pass {
+pub struct Permit {
     gate: Gate,
     version: Version,
 }
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
         if let Some(n) = self.gate.state().running.get_mut(&self.version) {
             *n = n.saturating_sub(1);
@@ -75,18 +75,23 @@
     }
 
     /// Lets a request in, or says why not.
-    pub fn admit(&self, ask: &Ask, cfg: &AgentCfg, force: &ActiveTable) -> Result<Pass, Closed> {
+    pub fn admit(
+        &self,
+        ask: &RequestMetadata,
+        cfg: &AgentCfg,
+        force: &ActiveTable,
+    ) -> Result<Permit, Refusal> {
         check_row(ask, cfg, force)?;
         let mut state = self.state();
         let running: u32 = state.running.values().sum();
         match () {
-            () if state.closed => return Err(Closed::Leaving),
-            () if !state.live.contains(&ask.version) => return Err(Closed::Version),
-            () if u64::from(running) >= cfg.max_running => return Err(Closed::Busy),
+            () if state.closed => return Err(Refusal::Leaving),
+            () if !state.live.contains(&ask.version) => return Err(Refusal::Version),
+            () if u64::from(running) >= cfg.max_running => return Err(Refusal::Busy),
             () => {}
         }
         *state.running.entry(ask.version.clone()).or_default() += 1;
-        Ok(Pass {
+        Ok(Permit {
             gate: self.clone(),
             version: ask.version.clone(),
         })
@@ -114,7 +119,7 @@
 
     /// Waits until no request of a version runs, or of any where none is given; `false` after
     /// `within`.
-    pub async fn drained(&self, version: Option<&Version>, within: Duration) -> bool {
+    pub async fn wait_drained(&self, version: Option<&Version>, within: Duration) -> bool {
         let wait = async {
             loop {
                 let freed = self.freed.notified();
@@ -133,17 +138,17 @@
 }
 
 /// Holds a request against the agent's own edition of the table.
-fn check_row(ask: &Ask, cfg: &AgentCfg, force: &ActiveTable) -> Result<(), Closed> {
+fn check_row(ask: &RequestMetadata, cfg: &AgentCfg, force: &ActiveTable) -> Result<(), Refusal> {
     let domains = force.domains();
     let view = force.current();
     let own = &cfg.upkeep.domain;
     let row = match view.table.find(&ask.model, &ask.version, own, domains) {
         Some(row) if row.permits(&ask.domain, domains) => row,
         _ if !cfg.check_places => return Ok(()),
-        _ => return Err(Closed::Place),
+        _ => return Err(Refusal::Place),
     };
     match force.may_serve(row) {
         true => Ok(()),
-        false => Err(Closed::Hold),
+        false => Err(Refusal::Hold),
     }
 }
--- a/crates/agent/src/handle.rs
+++ b/crates/agent/src/handle.rs
@@ -15,9 +15,9 @@
 use web::{Body, BodyError, Request, Response, read_body};
 
 use crate::Agent;
-use crate::ask::Ask;
-use crate::gate::{Closed, Pass};
-use crate::ledger::Recorded;
+use crate::gate::{Permit, Refusal};
+use crate::ledger::RecordedResponse;
+use crate::metadata::RequestMetadata;
 use crate::pace::Pacer;
 
 /// Log prefix of this part.
@@ -56,16 +56,16 @@
         info!(target: PART, "{PART}: request {id} was settled: {state}");
         return settled(&agent, state, recorded);
     }
-    let ask = match Ask::read(req.headers()) {
+    let ask = match RequestMetadata::read(req.headers()) {
         Ok(ask) => ask,
         Err(e) => {
-            let mut res = refuse(&agent, Closed::Malformed);
+            let mut res = refuse(&agent, Refusal::Malformed);
             *res.status_mut() = StatusCode::BAD_REQUEST;
             *res.body_mut() = web::full(format!("{e}\n"));
             return res;
         }
     };
-    let pass = match agent.gate.admit(&ask, &agent.cfg, &agent.force) {
+    let pass = match agent.gate.admit(&ask, &agent.cfg, &agent.active_table) {
         Ok(pass) => pass,
         Err(closed) => return refuse(&agent, closed),
     };
@@ -73,11 +73,11 @@
     let (head, body) = req.into_parts();
     let body = match read_body(body, upkeep.max_body, upkeep.body_timeout).await {
         Ok(body) => body,
-        Err(_) => return refuse(&agent, Closed::Malformed),
+        Err(_) => return refuse(&agent, Refusal::Malformed),
     };
-    agent.down.request(body.len());
+    agent.download_pacer.record_request(body.len());
     if ask.once && !agent.ledger.begin(&ask.id) {
-        return refuse(&agent, Closed::Sealed);
+        return refuse(&agent, Refusal::Sealed);
     }
     let run = Run {
         upstream_req: upstream_request(&ask, &head, body),
@@ -95,8 +95,8 @@
 /// A request that was let in.
 struct Run {
     agent: Arc<Agent>,
-    ask: Ask,
-    pass: Pass,
+    ask: RequestMetadata,
+    pass: Permit,
     upstream_req: hyper::Request<Body>,
     deadline: Instant,
 }
@@ -104,7 +104,7 @@
 /// How the upstream took a request.
 enum Taken {
     Answered(hyper::Response<Incoming>),
-    Refused(Closed),
+    Refused(Refusal),
     Lost(String),
 }
 
@@ -118,7 +118,7 @@
                     body,
                     self.pass,
                     self.deadline,
-                    self.agent.up.clone(),
+                    self.agent.upload_pacer.clone(),
                 ));
                 *res.status_mut() = head.status;
                 *res.headers_mut() = returned(&head.headers);
@@ -175,12 +175,12 @@
                     return;
                 }
             };
-            self.agent.up.request(data.len());
+            self.agent.upload_pacer.record_request(data.len());
             kept.extend_from_slice(&data);
             listens = listens && frames_tx.send(Ok(data)).await.is_ok();
         }
         headers.remove("content-length");
-        let recorded = Recorded {
+        let recorded = RecordedResponse {
             status: head.status,
             headers,
             body: kept.freeze(),
@@ -193,13 +193,13 @@
     async fn send(&mut self) -> Taken {
         let remaining = self.deadline.saturating_duration_since(clock::now());
         if remaining.is_zero() {
-            return Taken::Refused(Closed::Late);
+            return Taken::Refused(Refusal::Late);
         }
         let req = std::mem::replace(&mut self.upstream_req, hyper::Request::new(web::empty()));
         let upstream = self.agent.cfg.upstream;
         let res = match self.agent.client.send(upstream, req, remaining).await {
             Ok(res) => res,
-            Err(e) if !e.may_have_run() => return Taken::Refused(Closed::Upstream),
+            Err(e) if !e.may_have_run() => return Taken::Refused(Refusal::Upstream),
             Err(e) => return Taken::Lost(e.to_string()),
         };
         match self.ask.version.digest() {
@@ -216,10 +216,10 @@
         match res.status() {
             StatusCode::CONFLICT => {
                 self.agent.gate.retire(&self.ask.version);
-                Taken::Refused(Closed::Version)
+                Taken::Refused(Refusal::Version)
             }
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                Taken::Refused(Closed::Busy)
+                Taken::Refused(Refusal::Busy)
             }
             _ if ran_with != Some(wanted) => {
                 Taken::Lost(format!("the engine answered with {ran_with:?}"))
@@ -231,7 +231,7 @@
 }
 
 fn upstream_request(
-    ask: &Ask,
+    ask: &RequestMetadata,
     head: &hyper::http::request::Parts,
     body: Bytes,
 ) -> hyper::Request<Body> {
@@ -262,7 +262,7 @@
 }
 
 /// Says whose answer it is and where it ran.
-fn stamp(agent: &Agent, ask: &Ask, headers: &mut HeaderMap) {
+fn stamp(agent: &Agent, ask: &RequestMetadata, headers: &mut HeaderMap) {
     web::set_header(headers, header::REQUEST, &ask.id);
     web::set_header(headers, header::VERSION, &ask.version.to_string());
     web::set_header(headers, header::MODEL, &ask.model);
@@ -275,7 +275,7 @@
     web::set_header(headers, header::INCARNATION, &agent.incarnation.to_string());
 }
 
-fn refuse(agent: &Agent, closed: Closed) -> Response {
+fn refuse(agent: &Agent, closed: Refusal) -> Response {
     let reason = closed.to_string();
     metrics::counter!("driftnotch_agent_refused_total", "reason" => reason.clone()).increment(1);
     let mut res = web::text(503, format!("{reason}\n"));
@@ -285,7 +285,7 @@
 }
 
 /// An answer that was lost on the way from the upstream: no word of it is passed on as an answer.
-fn lost(agent: &Agent, ask: &Ask, why: &str) -> Response {
+fn lost(agent: &Agent, ask: &RequestMetadata, why: &str) -> Response {
     warn!(target: PART, "{PART}: request {} lost its answer: {why}", ask.id);
     let mut res = web::text(502, "the answer was lost; the request may have run\n");
     web::set_header(
@@ -297,7 +297,7 @@
     res
 }
 
-fn settled(agent: &Agent, state: Settled, recorded: Option<Recorded>) -> Response {
+fn settled(agent: &Agent, state: Settled, recorded: Option<RecordedResponse>) -> Response {
     let mut res = match recorded {
         Some(recorded) => {
             let mut res = hyper::Response::new(web::full(recorded.body));
@@ -313,12 +313,12 @@
 }
 
 /// Passes a body on until the deadline, counting its request as running until the last byte.
-fn pass_through(body: Incoming, pass: Pass, deadline: Instant, up: Arc<Pacer>) -> Body {
+fn pass_through(body: Incoming, pass: Permit, deadline: Instant, up: Arc<Pacer>) -> Body {
     let frames = stream::unfold(Some((body, pass, up)), move |state| async move {
         let (mut body, pass, up) = state?;
         match clock::timeout_at(deadline, body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                up.request(frame.data_ref().map_or(0, Bytes::len));
+                up.record_request(frame.data_ref().map_or(0, Bytes::len));
                 Some((Ok(frame), Some((body, pass, up))))
             }
             Ok(Some(Err(e))) => Some((Err(BodyError::Broken(e)), None)),
--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -20,7 +20,7 @@
 
 /// A recorded answer.
 #[derive(Debug, Clone)]
-pub struct Recorded {
+pub struct RecordedResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -33,7 +33,7 @@
 enum State {
     Sealed,
     Running,
-    Done(Recorded, Instant),
+    Done(RecordedResponse, Instant),
     Gone,
 }
 
@@ -58,11 +58,11 @@
 impl Ledger {
     /// A ledger that keeps answers within `memory` bytes and `retention`.
     pub fn new(memory: usize, retention: Duration) -> Ledger {
-        Ledger::with_ids(memory, retention, MAX_IDS)
+        Ledger::with_max_ids(memory, retention, MAX_IDS)
     }
 
     /// A ledger that keeps at most `max_ids` ids.
-    pub fn with_ids(memory: usize, retention: Duration, max_ids: usize) -> Ledger {
+    pub fn with_max_ids(memory: usize, retention: Duration, max_ids: usize) -> Ledger {
         Ledger {
             memory,
             retention,
@@ -91,7 +91,7 @@
     }
 
     /// Notes that an id ran; its answer is kept where there is one.
-    pub fn finish(&self, id: &str, recorded: Option<Recorded>) {
+    pub fn finish(&self, id: &str, recorded: Option<RecordedResponse>) {
         let mut inner = self.inner();
         let state = match recorded {
             Some(recorded) if recorded.body.len() <= self.memory => {
@@ -106,7 +106,7 @@
     }
 
     /// What became of an id. An id that is not known is sealed.
-    pub fn settle(&self, id: &str) -> (Settled, Option<Recorded>) {
+    pub fn settle(&self, id: &str) -> (Settled, Option<RecordedResponse>) {
         let mut inner = self.inner();
         inner.drop_answers(self.memory, self.retention);
         match inner.ids.get(id) {
@@ -123,7 +123,7 @@
     }
 
     /// Bytes of answers kept.
-    pub fn bytes(&self) -> usize {
+    pub fn stored_bytes(&self) -> usize {
         self.inner().bytes
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,23 +1,23 @@
 //! The agent: the only process that talks to its VM's upstream.
 //!
-//! A request's way: [`ask`] reads what an entry sent, [`gate`] lets it in or refuses it for
+//! A request's way: [`metadata`] reads what an entry sent, [`gate`] lets it in or refuses it for
 //! certain, [`handle`] runs it at the upstream, and [`ledger`] remembers unsafe ones. Weights:
 //! [`rollout`] compares the table with what the engine has, [`fetch`] brings a version's chunks
-//! in, one by one ([`bring`]), from the sources that [`swarm`] ranks, [`peer`] passes them on at
+//! in, one by one ([`chunk`]), from the sources that [`swarm`] ranks, [`peer`] passes them on at
 //! the [`pace`] that requests leave, and [`engine`] gives orders.
 //! [`links`] keeps links to the entries of the failure domain.
 
 #![deny(clippy::disallowed_methods)]
 
 pub mod admin;
-pub mod ask;
-pub mod bring;
+pub mod chunk;
 pub mod engine;
 pub mod fetch;
 pub mod gate;
 pub mod handle;
 pub mod ledger;
 pub mod links;
+pub mod metadata;
 pub mod pace;
 pub mod peer;
 pub mod rollout;
@@ -39,7 +39,7 @@
 
 /// A question to the entries: who fetches or holds a version.
 #[derive(Debug)]
-pub struct PeersJob {
+pub struct PeersRequest {
     /// Version.
     pub version: Version,
     /// Takes the answer; dropped where no entry can be asked.
@@ -54,7 +54,7 @@
     /// Incarnation of this process.
     pub incarnation: Incarnation,
     /// The edition it serves by.
-    pub force: Arc<ActiveTable>,
+    pub active_table: Arc<ActiveTable>,
     /// Lets requests in.
     pub gate: gate::Gate,
     /// Unsafe requests.
@@ -68,15 +68,15 @@
     /// Origin of weights.
     pub origin: store::Origin,
     /// Questions to the entries.
-    pub peers: mpsc::Sender<PeersJob>,
+    pub peers_requests: mpsc::Sender<PeersRequest>,
     /// Bytes of control links.
     pub traffic: Traffic,
     /// Bytes of chunks taken from peers and from the origin.
-    pub drawn: Drawn,
+    pub chunk_counts: ChunkCounts,
     /// Pace of weights sent.
-    pub up: Arc<pace::Pacer>,
+    pub upload_pacer: Arc<pace::Pacer>,
     /// Pace of weights fetched.
-    pub down: Arc<pace::Pacer>,
+    pub download_pacer: Arc<pace::Pacer>,
     /// What the entries are told of versions.
     pub holdings: watch::Sender<Vec<Holding>>,
     chunks: Mutex<ChunkStore>,
@@ -88,7 +88,7 @@
 
 /// Bytes of chunks, by where they came from.
 #[derive(Debug, Default)]
-pub struct Drawn {
+pub struct ChunkCounts {
     /// From the origin.
     pub origin: AtomicU64,
     /// From peers.
@@ -121,12 +121,12 @@
     }
 
     /// Whether it takes no new work.
-    pub fn leaving(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         *self.leaving.borrow()
     }
 
     /// Takes no new work from now on.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         self.gate.close();
         self.leaving.send_replace(true);
     }
@@ -137,13 +137,13 @@
     }
 
     /// Whether another agent gives this VM's orders now.
-    pub fn superseded(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         self.superseded.load(Ordering::Relaxed)
     }
 
     /// Gives up the VM to another agent.
-    pub fn give_way(&self) {
+    pub fn mark_superseded(&self) {
         self.superseded.store(true, Ordering::Relaxed);
-        self.leave();
+        self.start_leaving();
     }
 }
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -18,7 +18,7 @@
 use tokio::task::JoinHandle;
 use wire::{AgentInfo, AgentSession, Heartbeat, HeartbeatReply, Holding, Link, WireError};
 
-use crate::{Agent, PeersJob};
+use crate::{Agent, PeersRequest};
 
 /// Log prefix of this part.
 const PART: &str = "links";
@@ -42,7 +42,7 @@
 type Learnt = mpsc::UnboundedSender<Vec<SocketAddr>>;
 
 /// Keeps links for as long as the process runs; call within a `LocalSet`.
-pub async fn keep(agent: Arc<Agent>, mut jobs: mpsc::Receiver<PeersJob>) {
+pub async fn maintain(agent: Arc<Agent>, mut jobs: mpsc::Receiver<PeersRequest>) {
     let live = Live::default();
     let mut homes = Homes::new(agent.clone(), live.clone());
     let mut review = tokio::time::interval(REVIEW);
@@ -52,7 +52,7 @@
             Some(addrs) = homes.learnt.recv() => homes.learn(addrs),
             Some(job) = jobs.recv() => {
                 let seat = live.borrow().values().cloned().choose(&mut rand::rng());
-                tokio::task::spawn_local(ask_peers(seat, job));
+                tokio::task::spawn_local(request_peers(seat, job));
             }
         }
     }
@@ -152,7 +152,7 @@
     rendezvous::rank(format!("{vm} ").as_bytes(), &addr.to_string())
 }
 
-async fn ask_peers(seat: Option<Rc<AgentSession>>, job: PeersJob) {
+async fn request_peers(seat: Option<Rc<AgentSession>>, job: PeersRequest) {
     let Some(seat) = seat else {
         return;
     };
@@ -180,7 +180,7 @@
     let mut told = None;
     loop {
         let reply = beat(agent, &seat, seen, &mut told).await?;
-        let view = agent.force.current();
+        let view = agent.active_table.current();
         if reply.freshness.revision < view.edition.revision {
             // The entry may have restarted: an edition lasts as long as any process has it.
             seat.offer(&view.edition).await?;
@@ -211,9 +211,9 @@
     let same_holdings = told.as_ref() == Some(&holdings);
     *told = Some(holdings.clone());
     let beat = Heartbeat {
-        revision: agent.force.revision(),
+        revision: agent.active_table.revision(),
         running: agent.gate.running(),
-        leaving: agent.leaving(),
+        leaving: agent.is_leaving(),
         holdings: if same_holdings { Vec::new() } else { holdings },
         entries_seen,
         same_holdings,
@@ -224,18 +224,20 @@
         .checked_sub(age)
         .filter(|_| age < wire::NEVER_CONFIRMED)
     {
-        agent.force.confirm(reply.freshness.revision, confirmed);
+        agent
+            .active_table
+            .confirm(reply.freshness.revision, confirmed);
     }
-    if reply.leaving && !agent.leaving() {
+    if reply.leaving && !agent.is_leaving() {
         info!(target: PART, "{PART}: the platform lists this VM as leaving; no new requests are taken");
-        agent.leave();
+        agent.start_leaving();
     }
     Ok(reply)
 }
 
 async fn watch(agent: &Agent, seat: &AgentSession) -> Result<(), WireError> {
     loop {
-        let patch = seat.watch(agent.force.revision()).await?;
+        let patch = seat.watch(agent.active_table.revision()).await?;
         if follow(agent, patch).await == Followed::NotFrom {
             let whole = seat.watch(0).await?;
             follow(agent, whole).await;
@@ -252,7 +254,7 @@
 
 async fn follow(agent: &Agent, patch: Patch) -> Followed {
     let revision = patch.revision;
-    match agent.force.apply_patch(patch) {
+    match agent.active_table.apply_patch(patch) {
         Ok(true) => info!(target: PART, "{PART}: revision {revision} is in force"),
         Ok(false) => {}
         Err(PatchError::UnknownBase) => return Followed::NotFrom,
--- a/crates/agent/src/ask.rs
+++ b/crates/agent/src/metadata.rs
@@ -9,7 +9,7 @@
 
 /// A request as an entry describes it.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RequestMetadata {
     /// Request.
     pub id: RequestId,
     /// Model or plain service.
@@ -26,28 +26,29 @@
 
 /// the header {0} is missing or makes no sense; send requests through an entry
 #[derive(Debug, Display)]
-pub struct BadAsk(&'static str);
+pub struct InvalidHeader(&'static str);
 
-impl std::error::Error for BadAsk {}
+impl std::error::Error for InvalidHeader {}
 
 /// Longest name in a header, in bytes.
 const MAX_NAME: usize = 128;
 
-impl Ask {
+impl RequestMetadata {
     /// Reads the headers.
-    pub fn read(headers: &HeaderMap) -> Result<Ask, BadAsk> {
+    pub fn read(headers: &HeaderMap) -> Result<RequestMetadata, InvalidHeader> {
         let text = |name: &'static str| {
             web::header(headers, name)
                 .filter(|s| !s.is_empty() && s.len() <= MAX_NAME)
-                .ok_or(BadAsk(name))
+                .ok_or(InvalidHeader(name))
         };
         let ms: u64 = text(header::DEADLINE)?
             .parse()
-            .map_err(|_| BadAsk(header::DEADLINE))?;
-        Ok(Ask {
+            .map_err(|_| InvalidHeader(header::DEADLINE))?;
+        Ok(RequestMetadata {
             id: text(header::REQUEST)?.to_owned(),
             model: text(header::MODEL)?.to_owned(),
-            version: Version::parse(text(header::VERSION)?).ok_or(BadAsk(header::VERSION))?,
+            version: Version::parse(text(header::VERSION)?)
+                .ok_or(InvalidHeader(header::VERSION))?,
             remaining: Duration::from_millis(ms),
             domain: text(header::DOMAIN)?.to_owned(),
             once: web::header(headers, header::UNSAFE) == Some("true"),
--- a/crates/agent/src/pace.rs
+++ b/crates/agent/src/pace.rs
@@ -13,7 +13,7 @@
 use web::Body;
 
 /// Bytes of weights sent at once; small, so that an answer waits behind little.
-pub const FRAME: usize = 4 << 10;
+pub const FRAME_BYTES: usize = 4 << 10;
 
 /// Time that unused pace is kept for.
 const SLACK: Duration = Duration::from_millis(20);
@@ -50,12 +50,12 @@
     }
 
     /// Notes bytes of a request or its answer.
-    pub fn request(&self, bytes: usize) {
+    pub fn record_request(&self, bytes: usize) {
         self.take(bytes);
     }
 
     /// Waits until so many bytes of weights may go.
-    pub async fn weights(&self, bytes: usize) {
+    pub async fn wait_for_weights(&self, bytes: usize) {
         if let Some(at) = self.take(bytes) {
             clock::sleep_until(at).await;
         }
@@ -63,7 +63,7 @@
 }
 
 /// The body of a chunk, paced frame by frame; `held` is kept until its end.
-pub fn paced<T: Send + 'static>(
+pub fn paced_body<T: Send + 'static>(
     buf: Bytes,
     held: T,
     pacer: impl AsRef<Pacer> + Send + 'static,
@@ -72,8 +72,8 @@
         if buf.is_empty() {
             return None;
         }
-        let frame = buf.split_to(buf.len().min(FRAME));
-        pacer.as_ref().weights(frame.len()).await;
+        let frame = buf.split_to(buf.len().min(FRAME_BYTES));
+        pacer.as_ref().wait_for_weights(frame.len()).await;
         Some((Ok(Frame::data(frame)), (buf, held, pacer)))
     });
     BodyExt::boxed_unsync(StreamBody::new(frames))
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -14,7 +14,7 @@
 use web::{Request, Response};
 
 use crate::Agent;
-use crate::pace::paced;
+use crate::pace::paced_body;
 
 /// A held chunk in the answer to `/have`.
 pub const HELD: u8 = b'1';
@@ -53,8 +53,8 @@
 }
 
 fn may_have(agent: &Agent, version: Digest, domain: &str) -> bool {
-    let view = agent.force.current();
-    let domains = agent.force.domains();
+    let view = agent.active_table.current();
+    let domains = agent.active_table.domains();
     view.table
         .permits_weights(&Version::Weights(version), domain, domains)
 }
@@ -90,7 +90,7 @@
 }
 
 /// Which chunks are held, four to a hex digit, for a header.
-fn short_map(map: &[u8]) -> String {
+fn encode_chunk_map(map: &[u8]) -> String {
     map.chunks(4)
         .map(|four| {
             let bits = four
@@ -102,8 +102,8 @@
         .collect()
 }
 
-/// Reads what [`short_map`] wrote.
-pub fn read_short_map(text: &str) -> Vec<bool> {
+/// Reads what [`encode_chunk_map`] wrote.
+pub fn decode_chunk_map(text: &str) -> Vec<bool> {
     text.chars()
         .filter_map(|c| c.to_digit(16))
         .flat_map(|digit| (0..4).map(move |i| digit >> i & 1 == 1))
@@ -120,9 +120,9 @@
             web::set_header(res.headers_mut(), "content-length", &buf.len().to_string());
             let map = held_map(agent, version).filter(|map| map.len() <= SHORT_MAP);
             if let Some(map) = map {
-                web::set_header(res.headers_mut(), header::HAVE, &short_map(&map));
+                web::set_header(res.headers_mut(), header::HAVE, &encode_chunk_map(&map));
             }
-            *res.body_mut() = paced(buf, slot, agent.up.clone());
+            *res.body_mut() = paced_body(buf, slot, agent.upload_pacer.clone());
             res
         }
         None => web::text(404, "the chunk is not held here\n"),
--- a/crates/agent/src/rollout.rs
+++ b/crates/agent/src/rollout.rs
@@ -51,8 +51,8 @@
 }
 
 /// Follows the table and the engine for as long as the process runs.
-pub async fn follow(agent: Arc<Agent>) {
-    let mut views = agent.force.subscribe();
+pub async fn run(agent: Arc<Agent>) {
+    let mut views = agent.active_table.subscribe();
     let mut rollout = Rollout {
         transfers: Map::default(),
         retiring: Map::default(),
@@ -99,7 +99,7 @@
         let digests: Set<Digest> = wanted.iter().filter_map(|w| w.version.digest()).collect();
         self.drop_unwanted(&digests);
         let loaded: Set<Digest> = match &self.state {
-            Some(state) if !self.agent.superseded() => state.loaded.iter().copied().collect(),
+            Some(state) if !self.agent.is_superseded() => state.loaded.iter().copied().collect(),
             _ => Set::default(),
         };
         let live = digests
@@ -108,7 +108,7 @@
             .map(|d| Version::Weights(*d))
             .collect();
         self.publish(wanted, live);
-        if self.state.is_some() && !self.agent.superseded() {
+        if self.state.is_some() && !self.agent.is_superseded() {
             self.start_missing(wanted, &loaded);
             self.retire(&digests, &loaded);
         }
@@ -122,9 +122,9 @@
         }
         match std::mem::replace(&mut self.fence_raised, true) {
             false => self.agent.raise_fence(state.fence),
-            true if state.fence > self.agent.fence() && !self.agent.superseded() => {
+            true if state.fence > self.agent.fence() && !self.agent.is_superseded() => {
                 error!(target: PART, "{PART}: {}", EngineError::Fenced(state.fence));
-                self.agent.give_way();
+                self.agent.mark_superseded();
             }
             true => {}
         }
@@ -216,11 +216,11 @@
 /// Rows that this VM is to run by the edition in force.
 fn wanted(agent: &Agent) -> Vec<Wanted> {
     let cfg = &agent.cfg;
-    let view = agent.force.current();
+    let view = agent.active_table.current();
     view.table
         .rows
         .iter()
-        .filter(|row| row.permits(&cfg.upkeep.domain, agent.force.domains()))
+        .filter(|row| row.permits(&cfg.upkeep.domain, agent.active_table.domains()))
         .filter(|row| cfg.runs(&row.model))
         .filter(|row| cfg.is_engine() == row.version.digest().is_some())
         .map(|row| Wanted {
@@ -242,7 +242,7 @@
             }
             Err(EngineError::Fenced(seen)) => {
                 error!(target: PART, "{PART}: {}", EngineError::Fenced(seen));
-                agent.give_way();
+                agent.mark_superseded();
                 return;
             }
             Err(e) => warn!(target: PART, "{PART}: {} is not loaded: {e}", version.short()),
@@ -284,7 +284,7 @@
     agent.gate.retire(&row);
     if !agent
         .gate
-        .drained(Some(&row), agent.cfg.upkeep.drain_timeout)
+        .wait_drained(Some(&row), agent.cfg.upkeep.drain_timeout)
         .await
     {
         warn!(target: PART, "{PART}: requests of {} outlasted the drain", version.short());
@@ -295,7 +295,7 @@
     };
     match ordered {
         Ok(()) => info!(target: PART, "{PART}: the engine dropped {}", version.short()),
-        Err(EngineError::Fenced(_)) => agent.give_way(),
+        Err(EngineError::Fenced(_)) => agent.mark_superseded(),
         Err(e) => warn!(target: PART, "{PART}: {} is not dropped: {e}", version.short()),
     }
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -21,7 +21,7 @@
 use crate::gate::Gate;
 use crate::ledger::Ledger;
 use crate::pace::Pacer;
-use crate::{Agent, Drawn, PeersJob, admin, handle, links, peer, rollout};
+use crate::{Agent, ChunkCounts, PeersRequest, admin, handle, links, peer, rollout};
 
 /// Log prefix of this part.
 const PART: &str = "agent";
@@ -59,7 +59,7 @@
     let agent = new_agent(cfg, jobs_tx)?;
     info!(target: PART, "{PART}: {} in {} listens on {}", upkeep.vm, upkeep.domain, agent.cfg.listen);
     start_links(&agent, jobs)?;
-    tokio::spawn(rollout::follow(agent.clone()));
+    tokio::spawn(rollout::run(agent.clone()));
     let (close, closing) = watch::channel(false);
     let bounds = ServerLimits {
         max_connections: upkeep.max_connections,
@@ -94,9 +94,9 @@
 async fn drain(agent: &Agent) {
     let upkeep = &agent.cfg.upkeep;
     info!(target: PART, "{PART}: stopping; running requests go on");
-    agent.leave();
+    agent.start_leaving();
     tokio::time::sleep(upkeep.stop_notice).await;
-    if !agent.gate.drained(None, upkeep.drain_timeout).await {
+    if !agent.gate.wait_drained(None, upkeep.drain_timeout).await {
         warn!(target: PART, "{PART}: requests outlasted the drain of {:?}", upkeep.drain_timeout);
     }
 }
@@ -107,11 +107,14 @@
         .map_err(|e| AgentError::Listen(addr, e, field))
 }
 
-/// An agent that has not been started; its questions to the entries go to `peers`.
+/// An agent that has not been started; its questions to the entries go to `peers_requests`.
 ///
 /// # Errors
 /// `NoOrigin` where the settings name none.
-pub fn new_agent(cfg: AgentCfg, peers: mpsc::Sender<PeersJob>) -> Result<Arc<Agent>, AgentError> {
+pub fn new_agent(
+    cfg: AgentCfg,
+    peers_requests: mpsc::Sender<PeersRequest>,
+) -> Result<Arc<Agent>, AgentError> {
     let upkeep = &cfg.upkeep;
     let platform = &upkeep.platform;
     let origin = platform.origin.ok_or(AgentError::NoOrigin)?;
@@ -119,7 +122,7 @@
     let incarnation = unix_ms();
     Ok(Arc::new(Agent {
         incarnation,
-        force: Arc::new(ActiveTable::new(upkeep.domains.clone())),
+        active_table: Arc::new(ActiveTable::new(upkeep.domains.clone())),
         gate: Gate::default(),
         ledger: Ledger::new(cfg.answer_memory as usize, cfg.answer_retention),
         engine: Engine::new(cfg.upstream, cfg.engine_timeout, cfg.load_timeout),
@@ -137,11 +140,11 @@
                 source: upkeep.source,
             },
         ),
-        peers,
+        peers_requests,
         traffic: Traffic::default(),
-        drawn: Drawn::default(),
-        up: Arc::new(Pacer::new(cfg.link_rate, cfg.weight_share)),
-        down: Arc::new(Pacer::new(cfg.link_rate, cfg.weight_share)),
+        chunk_counts: ChunkCounts::default(),
+        upload_pacer: Arc::new(Pacer::new(cfg.link_rate, cfg.weight_share)),
+        download_pacer: Arc::new(Pacer::new(cfg.link_rate, cfg.weight_share)),
         holdings: watch::Sender::new(Vec::new()),
         chunks: Mutex::new(ChunkStore::new(cfg.chunk_memory as usize)),
         manifests: Mutex::new(Map::default()),
@@ -152,10 +155,10 @@
     }))
 }
 
-fn start_links(agent: &Arc<Agent>, jobs: mpsc::Receiver<PeersJob>) -> Result<(), AgentError> {
+fn start_links(agent: &Arc<Agent>, jobs: mpsc::Receiver<PeersRequest>) -> Result<(), AgentError> {
     let name = format!("links-{}", agent.cfg.listen.port());
     let agent = agent.clone();
-    wire::thread::spawn(name, move || links::keep(agent, jobs))
+    wire::thread::spawn(name, move || links::maintain(agent, jobs))
         .map(drop)
         .map_err(AgentError::Thread)
 }
--- a/crates/agent/src/swarm.rs
+++ b/crates/agent/src/swarm.rs
@@ -26,7 +26,7 @@
 
 /// Who this agent is and by which rule the origin is drawn from.
 #[derive(Debug, Clone)]
-pub struct Rule {
+pub struct SourcePolicy {
     /// VM.
     pub vm: VmId,
     /// Failure domain.
@@ -34,18 +34,18 @@
     /// Failure domains in which the version is permitted.
     pub permitted: Vec<DomainName>,
     /// Time after the version was first wanted in which nobody draws, so that all know all.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// One copy for each failure domain, not for the whole fleet.
-    pub per_domain: bool,
+    pub copy_per_domain: bool,
     /// Whether chunks of the own failure domain are taken from a few agents only, one at a time from
     /// each, see [`sources`].
-    pub few_sources: bool,
+    pub limit_sources: bool,
     /// Wait before a chunk that is nowhere is drawn by one that wasn't chosen.
-    pub patience: Duration,
+    pub origin_wait: Duration,
     /// Bad chunks after which a source is left alone.
-    pub bad_chunks: u64,
+    pub max_bad_chunks: u64,
     /// How long it is left alone.
-    pub bad_time: Duration,
+    pub ban_time: Duration,
 }
 
 /// A chunk to take now: where from, and how urgent it is.
@@ -60,7 +60,7 @@
 /// What is known of other agents with a version.
 #[derive(Debug, Default)]
 pub struct Swarm {
-    duties: Mutex<Map<Digest, Duty>>,
+    duties: Mutex<Map<Digest, ChunkRole>>,
     /// Whom chunks are taken from, where these are a few; worked out once for a list of agents.
     few: Mutex<Option<Set<SocketAddr>>>,
     active: Map<SocketAddr, u32>,
@@ -75,7 +75,7 @@
 
 /// What falls to this agent for a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Duty {
+struct ChunkRole {
     /// It draws the chunk from the origin.
     draws: bool,
     /// It carries the chunk into its failure domain.
@@ -103,7 +103,7 @@
 }
 
 /// The few that take chunks from an agent, see [`sources`].
-pub fn takers<'a>(own: &VmId, others: &[&'a Peer]) -> Vec<&'a Peer> {
+pub fn receivers<'a>(own: &VmId, others: &[&'a Peer]) -> Vec<&'a Peer> {
     at_steps(own, others, |_, step| step)
 }
 
@@ -157,13 +157,13 @@
     }
 
     /// Notes that an agent has not what it was asked for.
-    pub fn lacks(&mut self, addr: SocketAddr) {
+    pub fn record_absent(&mut self, addr: SocketAddr) {
         self.have.remove(&addr);
     }
 
     /// Notes that an agent gave no answer: what it has is forgotten, and it is left alone for a
     /// while.
-    pub fn silent(&mut self, addr: SocketAddr) {
+    pub fn record_unresponsive(&mut self, addr: SocketAddr) {
         self.have.remove(&addr);
         self.busy.insert(addr, clock::now() + SILENT_TIME);
         let silences = self.silences.entry(addr).or_default();
@@ -174,22 +174,22 @@
     }
 
     /// Whether an agent may be asked now.
-    pub fn may_ask(&self, addr: SocketAddr, rule: &Rule) -> bool {
+    pub fn can_request(&self, addr: SocketAddr, policy: &SourcePolicy) -> bool {
         let now = clock::now();
         let busy = self.busy.get(&addr).is_some_and(|until| *until > now);
-        !busy && !self.banned(addr, rule)
+        !busy && !self.is_banned(addr, policy)
     }
 
     /// Notes that an agent has too many to serve just now.
-    pub fn busy(&mut self, addr: SocketAddr) {
+    pub fn record_busy(&mut self, addr: SocketAddr) {
         self.busy.insert(addr, clock::now() + BUSY_TIME);
     }
 
     /// Notes a bad chunk from an agent.
-    pub fn bad(&mut self, addr: SocketAddr, rule: &Rule) {
+    pub fn record_bad_chunk(&mut self, addr: SocketAddr, policy: &SourcePolicy) {
         let bad = self.bad.entry(addr).or_insert((0, clock::now()));
         *bad = (bad.0 + 1, clock::now());
-        if bad.0 >= rule.bad_chunks {
+        if bad.0 >= policy.max_bad_chunks {
             self.shun(addr);
         }
     }
@@ -203,19 +203,19 @@
     }
 
     /// Whether an agent is left alone for bad chunks.
-    pub fn banned(&self, addr: SocketAddr, rule: &Rule) -> bool {
-        self.bad
-            .get(&addr)
-            .is_some_and(|(n, at)| *n >= rule.bad_chunks && clock::since(*at) < rule.bad_time)
+    pub fn is_banned(&self, addr: SocketAddr, policy: &SourcePolicy) -> bool {
+        self.bad.get(&addr).is_some_and(|(n, at)| {
+            *n >= policy.max_bad_chunks && clock::since(*at) < policy.ban_time
+        })
     }
 
     /// Notes that a chunk is being taken from an agent.
-    pub fn begun(&mut self, addr: SocketAddr) {
+    pub fn record_started(&mut self, addr: SocketAddr) {
         *self.active.entry(addr).or_default() += 1;
     }
 
     /// Notes that it came, or did not.
-    pub fn ended(&mut self, addr: SocketAddr) {
+    pub fn record_completed(&mut self, addr: SocketAddr) {
         if let Some(n) = self.active.get_mut(&addr) {
             *n = n.saturating_sub(1);
         }
@@ -227,26 +227,26 @@
         &self,
         i: usize,
         chunk: &Digest,
-        rule: &Rule,
+        policy: &SourcePolicy,
         waited: Duration,
         stalled: Duration,
     ) -> Option<Choice> {
-        self.choosing(rule, waited, stalled).choose(i, chunk)
+        self.selector(policy, waited, stalled).choose(i, chunk)
     }
 
     /// The same for many chunks at one moment: who may be asked is looked up once for all of them.
-    pub fn choosing<'a>(
+    pub fn selector<'a>(
         &'a self,
-        rule: &'a Rule,
+        policy: &'a SourcePolicy,
         waited: Duration,
         stalled: Duration,
-    ) -> Choosing<'a> {
-        let few = rule.few_sources && stalled < FEW_TIME;
-        let sources = few.then(|| self.few(rule));
+    ) -> SourceSelector<'a> {
+        let few = policy.limit_sources && stalled < FEW_TIME;
+        let sources = few.then(|| self.few(policy));
         let holder = |peer: &'a Peer| {
             let have = self.have.get(&peer.addr)?;
-            let may_ask = self.may_ask(peer.addr, rule);
-            may_ask.then(|| Holder {
+            let can_request = self.can_request(peer.addr, policy);
+            can_request.then(|| Holder {
                 addr: peer.addr,
                 have,
                 is_source: sources
@@ -255,10 +255,10 @@
             })
         };
         let (near, far): (Vec<&Peer>, Vec<&Peer>) =
-            self.peers.iter().partition(|p| p.domain == rule.domain);
-        Choosing {
+            self.peers.iter().partition(|p| p.domain == policy.domain);
+        SourceSelector {
             swarm: self,
-            rule,
+            policy,
             waited,
             stalled,
             near: near.into_iter().filter_map(holder).collect(),
@@ -267,28 +267,28 @@
     }
 
     /// What falls to this agent for a chunk; worked out once for a list of agents.
-    fn duty(&self, i: usize, chunk: &Digest, rule: &Rule) -> Duty {
+    fn duty(&self, i: usize, chunk: &Digest, policy: &SourcePolicy) -> ChunkRole {
         let mut duties = self.duties.lock().unwrap_or_else(PoisonError::into_inner);
         *duties
             .entry(*chunk)
-            .or_insert_with(|| self.find_duty(i, chunk, rule))
+            .or_insert_with(|| self.find_duty(i, chunk, policy))
     }
 
-    fn find_duty(&self, i: usize, chunk: &Digest, rule: &Rule) -> Duty {
-        let domains = self.domains(rule);
-        let carries = self.is_turn(i / domains.len().max(1), chunk, rule);
+    fn find_duty(&self, i: usize, chunk: &Digest, policy: &SourcePolicy) -> ChunkRole {
+        let domains = self.domains(policy);
+        let carries = self.is_turn(i / domains.len().max(1), chunk, policy);
         let home = domains.get(i % domains.len().max(1));
-        let draws = rule.per_domain || home == Some(&&rule.domain);
-        Duty {
+        let draws = policy.copy_per_domain || home == Some(&&policy.domain);
+        ChunkRole {
             draws: carries && draws,
             carries,
         }
     }
 
     /// The few that chunks are taken from.
-    fn few(&self, rule: &Rule) -> Set<SocketAddr> {
+    fn few(&self, policy: &SourcePolicy) -> Set<SocketAddr> {
         let mut few = self.few.lock().unwrap_or_else(PoisonError::into_inner);
-        few.get_or_insert_with(|| self.find_sources(rule)).clone()
+        few.get_or_insert_with(|| self.find_sources(policy)).clone()
     }
 
     fn is_idle(&self, addr: SocketAddr) -> bool {
@@ -297,31 +297,31 @@
 
     /// Whether a chunk that was chosen to come from an agent may still be asked for: another may have
     /// been since.
-    pub fn may_begin(&self, addr: SocketAddr, rule: &Rule, stalled: Duration) -> bool {
-        !rule.few_sources || stalled >= FEW_TIME || self.is_idle(addr)
+    pub fn can_start(&self, addr: SocketAddr, policy: &SourcePolicy, stalled: Duration) -> bool {
+        !policy.limit_sources || stalled >= FEW_TIME || self.is_idle(addr)
     }
 
-    fn find_sources(&self, rule: &Rule) -> Set<SocketAddr> {
-        let sources = sources(&rule.vm, &self.near(rule));
+    fn find_sources(&self, policy: &SourcePolicy) -> Set<SocketAddr> {
+        let sources = sources(&policy.vm, &self.near(policy));
         sources.into_iter().map(|p| p.addr).collect()
     }
 
     /// The few that take chunks from this agent.
-    pub fn takers(&self, rule: &Rule) -> Vec<&Peer> {
-        takers(&rule.vm, &self.near(rule))
+    pub fn receivers(&self, policy: &SourcePolicy) -> Vec<&Peer> {
+        receivers(&policy.vm, &self.near(policy))
     }
 
-    fn near(&self, rule: &Rule) -> Vec<&Peer> {
-        let near = self.counted_on().filter(|p| p.domain == rule.domain);
+    fn near(&self, policy: &SourcePolicy) -> Vec<&Peer> {
+        let near = self.counted_on().filter(|p| p.domain == policy.domain);
         near.collect()
     }
 
     /// Permitted failure domains in which an agent can be counted on, in an order that all know.
-    fn domains<'a>(&self, rule: &'a Rule) -> Vec<&'a DomainName> {
+    fn domains<'a>(&self, policy: &'a SourcePolicy) -> Vec<&'a DomainName> {
         let counts = |domain: &&DomainName| {
-            **domain == rule.domain || self.counted_on().any(|p| p.domain == **domain)
+            **domain == policy.domain || self.counted_on().any(|p| p.domain == **domain)
         };
-        let mut domains: Vec<_> = rule.permitted.iter().filter(counts).collect();
+        let mut domains: Vec<_> = policy.permitted.iter().filter(counts).collect();
         domains.sort();
         domains
     }
@@ -329,25 +329,25 @@
     /// Whether it is this agent's turn in its failure domain. Agents take turns in the order of
     /// their VMs, so that each brings in as much as the others; where the one whose turn it is can't
     /// be counted on, a rendezvous hash chooses among those that can.
-    fn is_turn(&self, turn: usize, chunk: &Digest, rule: &Rule) -> bool {
+    fn is_turn(&self, turn: usize, chunk: &Digest, policy: &SourcePolicy) -> bool {
         let mut vms: Vec<&VmId> = self
             .peers
             .iter()
-            .filter(|p| p.domain == rule.domain)
+            .filter(|p| p.domain == policy.domain)
             .map(|p| &p.vm)
             .collect();
-        vms.push(&rule.vm);
+        vms.push(&policy.vm);
         vms.sort();
         let first = vms[turn % vms.len()];
-        if *first == rule.vm {
+        if *first == policy.vm {
             return true;
         }
-        let mut near = self.counted_on().filter(|p| p.domain == rule.domain);
+        let mut near = self.counted_on().filter(|p| p.domain == policy.domain);
         if near.any(|p| p.vm == *first) {
             return false;
         }
-        let own = rank(chunk.as_bytes(), &rule.vm);
-        let mut near = self.counted_on().filter(|p| p.domain == rule.domain);
+        let own = rank(chunk.as_bytes(), &policy.vm);
+        let mut near = self.counted_on().filter(|p| p.domain == policy.domain);
         near.all(|p| rank(chunk.as_bytes(), &p.vm) < own)
     }
 
@@ -377,19 +377,19 @@
 
 /// A choice for many chunks at one moment.
 #[derive(Debug)]
-pub struct Choosing<'a> {
+pub struct SourceSelector<'a> {
     swarm: &'a Swarm,
-    rule: &'a Rule,
+    policy: &'a SourcePolicy,
     waited: Duration,
     stalled: Duration,
     near: Vec<Holder<'a>>,
     far: Vec<Holder<'a>>,
 }
 
-impl Choosing<'_> {
+impl SourceSelector<'_> {
     /// Where to take a chunk from now; `None` where it is better to wait.
     pub fn choose(&self, i: usize, chunk: &Digest) -> Option<Choice> {
-        let (swarm, rule, stalled) = (self.swarm, self.rule, self.stalled);
+        let (swarm, policy, stalled) = (self.swarm, self.policy, self.stalled);
         let near: Vec<&Holder> = holders(&self.near, i).collect();
         if !near.is_empty() {
             let sources = near.iter().filter(|h| h.is_source).map(|h| h.addr);
@@ -399,10 +399,10 @@
                 urgency: (2, near.len()),
             });
         }
-        if self.waited < rule.settle {
+        if self.waited < policy.settle_time {
             return None;
         }
-        let Duty { draws, carries } = swarm.duty(i, chunk, rule);
+        let ChunkRole { draws, carries } = swarm.duty(i, chunk, policy);
         let first = |source| Choice {
             source,
             urgency: (0, 0),
@@ -412,10 +412,10 @@
         }
         // Where the chosen one is gone, the one that carries into a domain draws before others.
         let patience = match carries {
-            true => rule.patience,
-            false => rule.patience * 2,
+            true => policy.origin_wait,
+            false => policy.origin_wait * 2,
         };
-        let crosses = carries || stalled > rule.patience / 2;
+        let crosses = carries || stalled > policy.origin_wait / 2;
         let far = match crosses {
             true => self.far_holders(i),
             false => Vec::new(),
--- a/crates/agent/tests/ledger.rs
+++ b/crates/agent/tests/ledger.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use agent::ledger::{Ledger, Recorded};
+use agent::ledger::{Ledger, RecordedResponse};
 use base::Settled;
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
@@ -75,8 +75,8 @@
     format!("{id:012x}{:020x}", 7)
 }
 
-fn recorded(len: usize) -> Recorded {
-    Recorded {
+fn recorded(len: usize) -> RecordedResponse {
+    RecordedResponse {
         status: StatusCode::OK,
         headers: HeaderMap::new(),
         body: Bytes::from(vec![0; len]),
@@ -114,7 +114,7 @@
 
     fn init_test(_: &Steps) -> Sut {
         Sut {
-            ledger: Ledger::with_ids(MEMORY, Duration::from_secs(3600), IDS),
+            ledger: Ledger::with_max_ids(MEMORY, Duration::from_secs(3600), IDS),
             truths: BTreeMap::new(),
             starts: BTreeMap::new(),
             told_sealed: BTreeSet::new(),
@@ -139,7 +139,7 @@
 
     fn check_invariants(sut: &Sut, _: &Steps) {
         assert!(sut.starts.values().all(|n| *n == 1), "{:?}", sut.starts);
-        assert!(sut.ledger.bytes() <= MEMORY);
+        assert!(sut.ledger.stored_bytes() <= MEMORY);
     }
 }
 
@@ -159,7 +159,7 @@
 
 #[test]
 fn once_ids_had_to_be_forgotten_an_unknown_one_is_not_said_not_to_have_run() {
-    let ledger = Ledger::with_ids(MEMORY, Duration::from_secs(60), 2);
+    let ledger = Ledger::with_max_ids(MEMORY, Duration::from_secs(60), 2);
     assert!(ledger.begin(&name(1)));
     ledger.finish(&name(1), None);
     assert!(ledger.begin(&name(2)) && ledger.begin(&name(3)));
@@ -178,5 +178,5 @@
     assert!(ledger.begin("a"));
     ledger.finish("a", Some(recorded(10)));
     assert_eq!(ledger.settle("a").0, Settled::Gone);
-    assert_eq!(ledger.bytes(), 0);
+    assert_eq!(ledger.stored_bytes(), 0);
 }
--- a/crates/agent/tests/sources.rs
+++ b/crates/agent/tests/sources.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use agent::swarm::{sources, takers};
+use agent::swarm::{receivers, sources};
 use base::Set;
 use proptest::prelude::*;
 use wire::Peer;
@@ -70,11 +70,11 @@
         let agents = agents(n);
 
         let sources = graph(&agents, sources);
-        let takers = graph(&agents, takers);
+        let receivers = graph(&agents, receivers);
 
-        for (i, takers) in takers.iter().enumerate() {
-            prop_assert!(takers.iter().all(|taker| sources[*taker].contains(&i)));
-            prop_assert_eq!(takers.len(), sources[i].len());
+        for (i, receivers) in receivers.iter().enumerate() {
+            prop_assert!(receivers.iter().all(|taker| sources[*taker].contains(&i)));
+            prop_assert_eq!(receivers.len(), sources[i].len());
         }
     }
 
--- a/crates/lab/src/commands/control.rs
+++ b/crates/lab/src/commands/control.rs
@@ -138,7 +138,7 @@
         wire::thread::spawn(format!("agents-{t}"), move || async move {
             let links = part
                 .into_iter()
-                .map(|(agent, jobs)| links::keep(agent, jobs));
+                .map(|(agent, jobs)| links::maintain(agent, jobs));
             futures_util::future::join_all(links).await;
         })?;
     }
@@ -204,7 +204,7 @@
 
 async fn all_have(fleet: &[Arc<Agent>], revision: u64) -> Result<(), LabError> {
     let begun = Instant::now();
-    while !fleet.iter().all(|a| a.force.revision() >= revision) {
+    while !fleet.iter().all(|a| a.active_table.revision() >= revision) {
         if begun.elapsed() > PATIENCE {
             return Err(LabError::Failed(format!(
                 "revision {revision} is not in force everywhere"
--- a/crates/loader/src/announcer.rs
+++ b/crates/loader/src/announcer.rs
@@ -54,7 +54,7 @@
     pub(crate) fn announce_to_receivers(&mut self, fetch: &Fetch) {
         let have = fetch.set.have();
         if have != self.have {
-            let receivers = fetch.swarm.takers(&fetch.rule);
+            let receivers = fetch.swarm.receivers(&fetch.policy);
             let receivers: Vec<SocketAddr> = receivers.iter().map(|p| p.addr).collect();
             announce_to(&fetch.cx, &fetch.set, &receivers);
             self.have = have;
--- a/crates/loader/src/fetch.rs
+++ b/crates/loader/src/fetch.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 
-use agent::swarm::{Rule, Source, Swarm};
+use agent::swarm::{Source, SourcePolicy, Swarm};
 use base::{Digest, Map, Set as HashSet};
 use log::{debug, info, warn};
 use rand::RngExt;
@@ -60,7 +60,7 @@
     origin: OriginVersion,
     client: Client,
     pub(crate) swarm: Swarm,
-    pub(crate) rule: Rule,
+    pub(crate) policy: SourcePolicy,
     in_flight: HashSet<usize>,
     /// Chunks in flight from the origin.
     from_origin: usize,
@@ -93,7 +93,7 @@
 /// Fetches all chunks of a set; returns once it is complete.
 pub(crate) async fn fetch(cx: Arc<Cx>, set: Arc<ChunkSet>, origin: OriginVersion, client: Client) {
     let now = clock::now();
-    let rule = rule(&cx);
+    let policy = policy(&cx);
     let max_origin_fetches = max_origin_fetches(&cx);
     let schedule = OriginSchedule::new(chunk_time(&cx), &vec![false; set.len()], now);
     let mut fetch = Fetch {
@@ -101,7 +101,7 @@
         origin,
         client,
         swarm: Swarm::default(),
-        rule,
+        policy,
         in_flight: HashSet::default(),
         from_origin: 0,
         max_origin_fetches,
@@ -170,21 +170,21 @@
     }
 }
 
-fn rule(cx: &Cx) -> Rule {
+fn policy(cx: &Cx) -> SourcePolicy {
     let mut permitted: Vec<_> = loaders(cx).into_iter().map(|m| m.domain).collect();
     permitted.push(cx.cfg.node.domain.clone());
     permitted.sort();
     permitted.dedup();
-    Rule {
+    SourcePolicy {
         vm: cx.cfg.node.vm.clone(),
         domain: cx.cfg.node.domain.clone(),
         permitted,
-        settle: cx.cfg.settle_time,
-        per_domain: false,
-        few_sources: true,
-        patience: cx.cfg.origin_patience,
-        bad_chunks: cx.cfg.bad_chunks,
-        bad_time: cx.cfg.bad_time,
+        settle_time: cx.cfg.settle_time,
+        copy_per_domain: false,
+        limit_sources: true,
+        origin_wait: cx.cfg.origin_patience,
+        max_bad_chunks: cx.cfg.bad_chunks,
+        ban_time: cx.cfg.bad_time,
     }
 }
 
@@ -203,7 +203,7 @@
         self.last_read = clock::now();
         let announced = self.announced(None);
         let members = loaders(&self.cx);
-        let own = &self.rule.domain;
+        let own = &self.policy.domain;
         self.near_loaders = members.iter().filter(|m| m.domain == *own).count();
         let presence = Presence::new(&members, &announced, own, self.near_loaders);
         let grace_over = clock::since(self.started) > GRACE_TIME;
@@ -262,12 +262,12 @@
         }
         let (waited, stalled) = (clock::since(self.started), clock::since(self.last_progress));
         let have = self.set.have();
-        let choosing = self.swarm.choosing(&self.rule, waited, stalled);
+        let selector = self.swarm.selector(&self.policy, waited, stalled);
         let mut ready: Vec<_> = (0..have.len())
             .filter(|i| !have[*i] && !self.in_flight.contains(i))
             .filter_map(|i| {
                 let digest = Digest::from_slice(&self.set.manifest.digests[i]).ok()?;
-                let choice = choosing.choose(i, &digest)?;
+                let choice = selector.choose(i, &digest)?;
                 Some((choice.urgency, i, choice.source))
             })
             .collect();
@@ -288,10 +288,10 @@
                     self.from_origin += 1;
                 }
                 Source::Peer(addr) => {
-                    if !self.swarm.may_begin(addr, &self.rule, stalled) {
+                    if !self.swarm.can_start(addr, &self.policy, stalled) {
                         continue;
                     }
-                    self.swarm.begun(addr);
+                    self.swarm.record_started(addr);
                 }
             }
             self.in_flight.insert(i);
@@ -326,7 +326,7 @@
     }
 
     fn is_near(&self, addr: SocketAddr) -> bool {
-        let near = |p: &&Peer| p.addr == addr && p.domain == self.rule.domain;
+        let near = |p: &&Peer| p.addr == addr && p.domain == self.policy.domain;
         self.swarm.peers().iter().any(|p| near(&p))
     }
 
@@ -342,7 +342,7 @@
         self.in_flight.remove(&i);
         match source {
             Source::Origin => self.from_origin -= 1,
-            Source::Peer(addr) => self.swarm.ended(addr),
+            Source::Peer(addr) => self.swarm.record_completed(addr),
         }
         let is_valid = result.as_ref().map(|buf| self.set.put(i, buf.clone()));
         match (is_valid, source) {
@@ -364,18 +364,18 @@
                 warn!(target: PART, "{PART}: event=bad_chunk chunk={i} version={} source={source:?}", self.set.version);
                 metrics::counter!("driftnotch_bad_chunks_total").increment(1);
                 if let Source::Peer(addr) = source {
-                    self.swarm.bad(addr, &self.rule);
+                    self.swarm.record_bad_chunk(addr, &self.policy);
                 }
             }
             (Err(ChunkError::Busy), Source::Peer(addr)) => {
                 self.counts.busy += 1;
-                self.swarm.busy(addr);
+                self.swarm.record_busy(addr);
             }
-            (Err(ChunkError::Absent), Source::Peer(addr)) => self.swarm.lacks(addr),
+            (Err(ChunkError::Absent), Source::Peer(addr)) => self.swarm.record_absent(addr),
             (Err(ChunkError::Failed(e)), Source::Peer(addr)) => {
                 debug!(target: PART, "{PART}: event=no_chunk chunk={i} peer={addr} why=\"{e}\"");
                 self.counts.failed += 1;
-                self.swarm.silent(addr);
+                self.swarm.record_unresponsive(addr);
             }
             (Err(e), Source::Origin) => {
                 if let ChunkError::Failed(e) = e {
--- a/crates/loader/src/peers.rs
+++ b/crates/loader/src/peers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use agent::pace::{Pacer, paced};
+use agent::pace::{Pacer, paced_body};
 use base::{DomainName, Map, Model};
 use beacon::{ChunkMap, Member, Msg, Role};
 use catalog::WeightsVersion;
@@ -217,7 +217,7 @@
         return text(BUSY, "too many chunks are asked for; ask again\n");
     };
     match limits.sending.clone().acquire_owned().await {
-        Ok(sending) => Response::new(paced(buf, (accepted, sending), limits.pacer.clone())),
+        Ok(sending) => Response::new(paced_body(buf, (accepted, sending), limits.pacer.clone())),
         Err(_) => text(BUSY, "the process is ending; ask another\n"),
     }
 }
