--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -1,9 +1,9 @@
-//! Lets requests in, or refuses them for certain.
+//! Admission of requests.
 //!
-//! The gate is the agent's own guard, whatever the entry believes: the row must permit both this
-//! VM's place and the entry's, the pinned version must be live, the edition within the row's hold,
-//! and the VM not leaving. The check and the count are one step, so a version that is taken out
-//! has no request slip in behind it.
+//! The gate checks each request independently of the entry: the row must permit the failure domains of this VM and of
+//! the entry, the pinned version must be live, the table confirmed within the row's hold time, and the VM not
+//! leaving. A refused request has certainly not run. The check and the count are one atomic step: once a version is
+//! removed, no further request of it is admitted.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 use crate::metadata::RequestMetadata;
 
-/// Why a request was refused for certain.
+/// Why a request was refused before it ran.
 #[derive(Debug, Clone, Copy, Display, PartialEq, Eq)]
 pub enum Refusal {
     /// leaving
@@ -46,14 +46,14 @@
     running: Map<Version, u32>,
 }
 
-/// The gate.
+/// Admits requests and counts those that run.
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
     state: Arc<Mutex<State>>,
-    freed: Arc<Notify>,
+    completed: Arc<Notify>,
 }
 
-/// A request that was let in; counted until dropped.
+/// Permit of an admitted request, which counts as running until the permit is dropped.
 #[derive(Debug)]
 pub struct Permit {
     gate: Gate,
@@ -65,7 +65,7 @@
         if let Some(n) = self.gate.state().running.get_mut(&self.version) {
             *n = n.saturating_sub(1);
         }
-        self.gate.freed.notify_waiters();
+        self.gate.completed.notify_waiters();
     }
 }
 
@@ -74,55 +74,58 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets a request in, or says why not.
+    /// Admits a request.
+    ///
+    /// # Errors
+    /// The reason for which it is refused.
     pub fn admit(
         &self,
-        ask: &RequestMetadata,
+        meta: &RequestMetadata,
         cfg: &AgentCfg,
-        force: &ActiveTable,
+        active_table: &ActiveTable,
     ) -> Result<Permit, Refusal> {
-        check_row(ask, cfg, force)?;
+        check_row(meta, cfg, active_table)?;
         let mut state = self.state();
         let running: u32 = state.running.values().sum();
         match () {
             () if state.closed => return Err(Refusal::Leaving),
-            () if !state.live.contains(&ask.version) => return Err(Refusal::Version),
+            () if !state.live.contains(&meta.version) => return Err(Refusal::Version),
             () if u64::from(running) >= cfg.max_running => return Err(Refusal::Busy),
             () => {}
         }
-        *state.running.entry(ask.version.clone()).or_default() += 1;
+        *state.running.entry(meta.version.clone()).or_default() += 1;
         Ok(Permit {
             gate: self.clone(),
-            version: ask.version.clone(),
+            version: meta.version.clone(),
         })
     }
 
-    /// Refuses all from now on.
+    /// Refuses all further requests.
     pub fn close(&self) {
         self.state().closed = true;
     }
 
-    /// Sets which versions are live.
+    /// Sets the live versions.
     pub fn set_live(&self, live: Set<Version>) {
         self.state().live = live;
     }
 
-    /// Takes a version out; what runs goes on.
+    /// Refuses further requests of a version; running ones continue.
     pub fn retire(&self, version: &Version) {
         self.state().live.remove(version);
     }
 
-    /// Requests running.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.state().running.values().sum()
     }
 
-    /// Waits until no request of a version runs, or of any where none is given; `false` after
-    /// `within`.
-    pub async fn wait_drained(&self, version: Option<&Version>, within: Duration) -> bool {
+    /// Waits until no request of a version is running, or no request at all if none is given. Returns `false` if
+    /// `timeout` has elapsed first.
+    pub async fn wait_drained(&self, version: Option<&Version>, timeout: Duration) -> bool {
         let wait = async {
             loop {
-                let freed = self.freed.notified();
+                let completed = self.completed.notified();
                 let running = match version {
                     Some(v) => self.state().running.get(v).copied().unwrap_or(0),
                     None => self.running(),
@@ -130,24 +133,28 @@
                 if running == 0 {
                     return;
                 }
-                freed.await;
+                completed.await;
             }
         };
-        tokio::time::timeout(within, wait).await.is_ok()
+        tokio::time::timeout(timeout, wait).await.is_ok()
     }
 }
 
-/// Holds a request against the agent's own edition of the table.
-fn check_row(ask: &RequestMetadata, cfg: &AgentCfg, force: &ActiveTable) -> Result<(), Refusal> {
-    let domains = force.domains();
-    let view = force.current();
+/// Checks a request against the agent's own table.
+fn check_row(
+    meta: &RequestMetadata,
+    cfg: &AgentCfg,
+    active_table: &ActiveTable,
+) -> Result<(), Refusal> {
+    let domains = active_table.domains();
+    let view = active_table.current();
     let own = &cfg.upkeep.domain;
-    let row = match view.table.find(&ask.model, &ask.version, own, domains) {
-        Some(row) if row.permits(&ask.domain, domains) => row,
+    let row = match view.table.find(&meta.model, &meta.version, own, domains) {
+        Some(row) if row.permits(&meta.domain, domains) => row,
         _ if !cfg.check_places => return Ok(()),
         _ => return Err(Refusal::Place),
     };
-    match force.may_serve(row) {
+    match active_table.may_serve(row) {
         true => Ok(()),
         false => Err(Refusal::Hold),
     }
--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -1,11 +1,11 @@
-//! Unsafe requests that this agent was sent.
+//! Ledger of the unsafe requests that this agent has received.
 //!
-//! A request id starts at most once here. An entry that lost an answer, or found an earlier claim
-//! on an idempotency key, asks what became of the id; an id that has not started is sealed by the
-//! question and can never start. Answers are kept for resends within a bound on bytes and time.
-//! Ids are kept longer. An id tells when it was made, and of those that had to be forgotten the
-//! latest time is kept: an id that isn't known and is no later can neither start nor be said not
-//! to have run.
+//! A request id starts at most once. An entry that lost a response, or found an earlier claim on an idempotency key,
+//! queries the outcome of the id; the query seals an id that has not started, which then can never start. Responses
+//! are stored for replay within limits on bytes and age, ids for longer.
+//!
+//! An id contains its creation time. The ledger stores the latest creation time of all evicted ids: an unknown id
+//! that is no newer may have been evicted. It can't start, and isn't reported as not run.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,10 +15,10 @@
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
 
-/// Ids kept.
+/// Maximum number of ids stored.
 const MAX_IDS: usize = 200_000;
 
-/// A recorded answer.
+/// A recorded response.
 #[derive(Debug, Clone)]
 pub struct RecordedResponse {
     /// Status.
@@ -40,31 +40,31 @@
 #[derive(Debug, Default)]
 struct Inner {
     ids: Map<RequestId, State>,
-    oldest_id: VecDeque<RequestId>,
-    oldest_answer: VecDeque<RequestId>,
+    ids_by_age: VecDeque<RequestId>,
+    responses_by_age: VecDeque<RequestId>,
     bytes: usize,
-    forgotten_until: Option<u64>,
+    evicted_until: Option<u64>,
 }
 
-/// The ledger.
+/// Record of request ids and their outcomes.
 #[derive(Debug)]
 pub struct Ledger {
-    memory: usize,
+    max_bytes: usize,
     retention: Duration,
     max_ids: usize,
     inner: Mutex<Inner>,
 }
 
 impl Ledger {
-    /// A ledger that keeps answers within `memory` bytes and `retention`.
-    pub fn new(memory: usize, retention: Duration) -> Ledger {
-        Ledger::with_max_ids(memory, retention, MAX_IDS)
+    /// Creates a ledger that stores responses of up to `max_bytes` bytes in total, for `retention`.
+    pub fn new(max_bytes: usize, retention: Duration) -> Ledger {
+        Ledger::with_max_ids(max_bytes, retention, MAX_IDS)
     }
 
-    /// A ledger that keeps at most `max_ids` ids.
-    pub fn with_max_ids(memory: usize, retention: Duration, max_ids: usize) -> Ledger {
+    /// Creates a ledger that stores at most `max_ids` ids.
+    pub fn with_max_ids(max_bytes: usize, retention: Duration, max_ids: usize) -> Ledger {
         Ledger {
-            memory,
+            max_bytes,
             retention,
             max_ids,
             inner: Mutex::default(),
@@ -75,46 +75,46 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts an id; `false` where it was sealed or has, or may have, started before.
+    /// Starts an id. Returns `false` if it was sealed, or has started or may have started before.
     pub fn begin(&self, id: &str) -> bool {
         let mut inner = self.inner();
-        if inner.ids.contains_key(id) || inner.may_be_forgotten(id) {
+        if inner.ids.contains_key(id) || inner.may_be_evicted(id) {
             return false;
         }
         inner.insert(id, State::Running, self.max_ids);
         true
     }
 
-    /// Notes that an id that was started has not run after all and never will.
+    /// Seals an id that was started but has not run: it never will.
     pub fn seal(&self, id: &str) {
         self.inner().ids.insert(id.to_owned(), State::Sealed);
     }
 
-    /// Notes that an id ran; its answer is kept where there is one.
-    pub fn finish(&self, id: &str, recorded: Option<RecordedResponse>) {
+    /// Records that an id has run, with its response if there is one.
+    pub fn finish(&self, id: &str, response: Option<RecordedResponse>) {
         let mut inner = self.inner();
-        let state = match recorded {
-            Some(recorded) if recorded.body.len() <= self.memory => {
-                inner.bytes += recorded.body.len();
-                inner.oldest_answer.push_back(id.to_owned());
-                State::Done(recorded, clock::now())
+        let state = match response {
+            Some(response) if response.body.len() <= self.max_bytes => {
+                inner.bytes += response.body.len();
+                inner.responses_by_age.push_back(id.to_owned());
+                State::Done(response, clock::now())
             }
             _ => State::Gone,
         };
         inner.ids.insert(id.to_owned(), state);
-        inner.drop_answers(self.memory, self.retention);
+        inner.evict_responses(self.max_bytes, self.retention);
     }
 
-    /// What became of an id. An id that is not known is sealed.
+    /// Returns the outcome of an id, and seals it if it is unknown.
     pub fn settle(&self, id: &str) -> (Settled, Option<RecordedResponse>) {
         let mut inner = self.inner();
-        inner.drop_answers(self.memory, self.retention);
+        inner.evict_responses(self.max_bytes, self.retention);
         match inner.ids.get(id) {
             Some(State::Sealed) => (Settled::Sealed, None),
             Some(State::Running) => (Settled::Running, None),
-            Some(State::Done(recorded, _)) => (Settled::Done, Some(recorded.clone())),
+            Some(State::Done(response, _)) => (Settled::Done, Some(response.clone())),
             Some(State::Gone) => (Settled::Gone, None),
-            None if inner.may_be_forgotten(id) => (Settled::Gone, None),
+            None if inner.may_be_evicted(id) => (Settled::Gone, None),
             None => {
                 inner.insert(id, State::Sealed, self.max_ids);
                 (Settled::Sealed, None)
@@ -122,51 +122,51 @@
         }
     }
 
-    /// Bytes of answers kept.
+    /// Returns the total size of the stored responses, in bytes.
     pub fn stored_bytes(&self) -> usize {
         self.inner().bytes
     }
 }
 
 impl Inner {
-    /// Whether an id that isn't known may be one that was forgotten.
-    fn may_be_forgotten(&self, id: &str) -> bool {
-        self.forgotten_until
+    /// Returns whether an unknown id may have been evicted.
+    fn may_be_evicted(&self, id: &str) -> bool {
+        self.evicted_until
             .is_some_and(|until| request_time(id) <= until)
     }
 
     fn insert(&mut self, id: &str, state: State, max_ids: usize) {
-        while self.oldest_id.len() >= max_ids {
-            if let Some(oldest) = self.oldest_id.pop_front() {
+        while self.ids_by_age.len() >= max_ids {
+            if let Some(oldest) = self.ids_by_age.pop_front() {
                 let time = request_time(&oldest);
-                self.forgotten_until = self.forgotten_until.max(Some(time));
-                self.drop_answer(&oldest);
+                self.evicted_until = self.evicted_until.max(Some(time));
+                self.evict_response(&oldest);
                 self.ids.remove(&oldest);
             }
         }
-        self.oldest_id.push_back(id.to_owned());
+        self.ids_by_age.push_back(id.to_owned());
         self.ids.insert(id.to_owned(), state);
     }
 
-    fn drop_answers(&mut self, memory: usize, retention: Duration) {
-        while let Some(oldest) = self.oldest_answer.front().cloned() {
+    fn evict_responses(&mut self, max_bytes: usize, retention: Duration) {
+        while let Some(oldest) = self.responses_by_age.front().cloned() {
             let expired = match self.ids.get(&oldest) {
                 Some(State::Done(_, at)) => clock::since(*at) > retention,
                 _ => true,
             };
-            if !expired && self.bytes <= memory {
+            if !expired && self.bytes <= max_bytes {
                 return;
             }
-            self.oldest_answer.pop_front();
-            self.drop_answer(&oldest);
+            self.responses_by_age.pop_front();
+            self.evict_response(&oldest);
         }
     }
 
-    fn drop_answer(&mut self, id: &str) {
+    fn evict_response(&mut self, id: &str) {
         if let Some(state) = self.ids.get_mut(id)
-            && let State::Done(recorded, _) = state
+            && let State::Done(response, _) = state
         {
-            self.bytes -= recorded.body.len();
+            self.bytes -= response.body.len();
             *state = State::Gone;
         }
     }
--- a/crates/agent/src/pace.rs
+++ b/crates/agent/src/pace.rs
@@ -1,7 +1,7 @@
-//! Paces weight traffic so that live requests find the VM's link free.
+//! Paces weight traffic to keep the VM's link free for live requests.
 //!
-//! Weights may take a set share of the link, frame by frame. What requests take is counted too and
-//! goes first: it shortens what is left for weights and waits for nothing itself.
+//! Weights use at most a configured share of the link, frame by frame. Traffic of requests counts against that share
+//! and is never delayed.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,13 +12,13 @@
 use hyper::body::Frame;
 use web::Body;
 
-/// Bytes of weights sent at once; small, so that an answer waits behind little.
+/// Size of a frame of weights, in bytes; small, since a response may be queued behind one frame.
 pub const FRAME_BYTES: usize = 4 << 10;
 
-/// Time that unused pace is kept for.
-const SLACK: Duration = Duration::from_millis(20);
+/// Maximum time for which unused rate accumulates.
+const MAX_SLACK: Duration = Duration::from_millis(20);
 
-/// One way of the VM's link.
+/// Rate limiter for weights on one direction of the VM's link.
 #[derive(Debug)]
 pub struct Pacer {
     rate: Option<f64>,
@@ -26,11 +26,12 @@
 }
 
 impl Pacer {
-    /// Gives weights `share` percent of a link of `link` bytes a second; 0 paces nothing.
-    pub fn new(link: u64, share: u64) -> Pacer {
-        let rate = link as f64 * share as f64 / 100.0;
+    /// Creates a pacer that gives weights `share` percent of a link of `link_rate` bytes a second. A `link_rate` of 0
+    /// disables pacing.
+    pub fn new(link_rate: u64, share: u64) -> Pacer {
+        let rate = link_rate as f64 * share as f64 / 100.0;
         Pacer {
-            rate: (link > 0).then_some(rate),
+            rate: (link_rate > 0).then_some(rate),
             free_at: Mutex::new(clock::now()),
         }
     }
@@ -39,42 +40,42 @@
         self.free_at.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes up the link for so many bytes; returns when they may go.
-    fn take(&self, bytes: usize) -> Option<Instant> {
+    /// Reserves the link for a number of bytes and returns when they may be sent; `None` without pacing.
+    fn reserve(&self, bytes: usize) -> Option<Instant> {
         let rate = self.rate?;
         let now = clock::now();
         let mut free_at = self.free_at();
-        let start = (*free_at).max(now.checked_sub(SLACK).unwrap_or(now));
+        let start = (*free_at).max(now.checked_sub(MAX_SLACK).unwrap_or(now));
         *free_at = start + Duration::from_secs_f64(bytes as f64 / rate);
         Some(start)
     }
 
-    /// Notes bytes of a request or its answer.
+    /// Records bytes of a request or its response.
     pub fn record_request(&self, bytes: usize) {
-        self.take(bytes);
+        self.reserve(bytes);
     }
 
-    /// Waits until so many bytes of weights may go.
+    /// Waits until a number of bytes of weights may be sent.
     pub async fn wait_for_weights(&self, bytes: usize) {
-        if let Some(at) = self.take(bytes) {
+        if let Some(at) = self.reserve(bytes) {
             clock::sleep_until(at).await;
         }
     }
 }
 
-/// The body of a chunk, paced frame by frame; `held` is kept until its end.
+/// Returns the body of a chunk, paced frame by frame; `guard` is dropped with it.
 pub fn paced_body<T: Send + 'static>(
     buf: Bytes,
-    held: T,
+    guard: T,
     pacer: impl AsRef<Pacer> + Send + 'static,
 ) -> Body {
-    let frames = stream::unfold((buf, held, pacer), |(mut buf, held, pacer)| async move {
+    let frames = stream::unfold((buf, guard, pacer), |(mut buf, guard, pacer)| async move {
         if buf.is_empty() {
             return None;
         }
         let frame = buf.split_to(buf.len().min(FRAME_BYTES));
         pacer.as_ref().wait_for_weights(frame.len()).await;
-        Some((Ok(Frame::data(frame)), (buf, held, pacer)))
+        Some((Ok(Frame::data(frame)), (buf, guard, pacer)))
     });
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
--- a/crates/agent/src/rollout.rs
+++ b/crates/agent/src/rollout.rs
@@ -1,10 +1,12 @@
-//! Brings the engine to what the table says.
+//! Reconciles the engine with the table.
 //!
-//! What is wanted follows from the edition in force; what is there follows from the state the
-//! engine reports. A version goes live only while the engine reports exactly its digest loaded. A
-//! version no longer wanted is taken out of the gate first, drained, and then dropped; a transfer
-//! no longer wanted is dropped at once. An order that outlived a pause is refused by the engine by
-//! its fencing number; where the engine ignores those, its state is read again before each order.
+//! The wanted versions follow from the table in force, the loaded ones from the state that the engine reports. A
+//! version is live only while the engine reports its exact digest as loaded. A version that is no longer wanted is
+//! removed from the gate, drained and then unloaded; a transfer that is no longer wanted is aborted at once.
+//!
+//! An agent may resume after a pause and send an order although another agent has taken over the VM. The engine
+//! refuses such an order by its fencing number; if the engine ignores fencing numbers, the agent reads its state
+//! again before each order.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -24,16 +26,16 @@
 /// Log prefix of this part.
 const PART: &str = "rollout";
 
-/// Pause before a failed order is given again.
-const ORDER_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between attempts of a failed load order.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A version on its way in.
+/// A version that is being fetched and loaded.
 struct Transfer {
     task: JoinHandle<()>,
     permille: Arc<AtomicU64>,
 }
 
-/// What the rollout of one VM keeps.
+/// State of the rollout on one VM.
 struct Rollout {
     agent: Arc<Agent>,
     transfers: Map<Digest, Transfer>,
@@ -42,17 +44,17 @@
     fence_raised: bool,
 }
 
-/// A row this VM is to run.
+/// A version that this VM has to run by a row of the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Wanted {
+struct WantedVersion {
     model: String,
     version: Version,
     priority: u8,
 }
 
-/// Follows the table and the engine for as long as the process runs.
+/// Reconciles the engine with the table when the table changes, and at the interval `engine_poll`; never returns.
 pub async fn run(agent: Arc<Agent>) {
-    let mut views = agent.active_table.subscribe();
+    let mut tables = agent.active_table.subscribe();
     let mut rollout = Rollout {
         transfers: Map::default(),
         retiring: Map::default(),
@@ -61,23 +63,23 @@
         agent,
     };
     loop {
-        rollout.step().await;
+        rollout.reconcile().await;
         let poll = rollout.agent.cfg.engine_poll;
-        let _ = tokio::time::timeout(poll, views.changed()).await;
+        let _ = tokio::time::timeout(poll, tables.changed()).await;
     }
 }
 
 impl Rollout {
-    async fn step(&mut self) {
+    async fn reconcile(&mut self) {
         let wanted = wanted(&self.agent);
         match self.agent.cfg.is_engine() {
-            true => self.step_engine(&wanted).await,
-            false => self.step_service(&wanted).await,
+            true => self.reconcile_engine(&wanted).await,
+            false => self.reconcile_service(&wanted).await,
         }
     }
 
-    /// A plain service has no weights; it is live while its VM can be connected to.
-    async fn step_service(&mut self, wanted: &[Wanted]) {
+    /// A plain service has no weights; its rows are live while the upstream accepts connections.
+    async fn reconcile_service(&mut self, wanted: &[WantedVersion]) {
         let up = tokio::net::TcpStream::connect(self.agent.cfg.upstream);
         let up = tokio::time::timeout(self.agent.cfg.engine_timeout, up).await;
         let live = match up {
@@ -87,9 +89,9 @@
         self.publish(wanted, live);
     }
 
-    async fn step_engine(&mut self, wanted: &[Wanted]) {
+    async fn reconcile_engine(&mut self, wanted: &[WantedVersion]) {
         match self.agent.engine.state().await {
-            Ok(state) => self.take_state(state),
+            Ok(state) => self.apply_state(state),
             Err(e) => {
                 if self.state.take().is_some() {
                     warn!(target: PART, "{PART}: {e}");
@@ -97,7 +99,7 @@
             }
         }
         let digests: Set<Digest> = wanted.iter().filter_map(|w| w.version.digest()).collect();
-        self.drop_unwanted(&digests);
+        self.discard_unwanted(&digests);
         let loaded: Set<Digest> = match &self.state {
             Some(state) if !self.agent.is_superseded() => state.loaded.iter().copied().collect(),
             _ => Set::default(),
@@ -114,10 +116,10 @@
         }
     }
 
-    fn take_state(&mut self, state: EngineState) {
+    fn apply_state(&mut self, state: EngineState) {
         let before = self.state.as_ref().map(|s| s.incarnation);
         if before.is_some_and(|before| before != state.incarnation) {
-            warn!(target: PART, "{PART}: the engine started anew");
+            warn!(target: PART, "{PART}: the engine restarted");
             self.transfers.drain().for_each(|(_, t)| t.task.abort());
         }
         match std::mem::replace(&mut self.fence_raised, true) {
@@ -131,8 +133,8 @@
         self.state = Some(state);
     }
 
-    /// Drops transfers, chunks and manifests that nobody wants any more.
-    fn drop_unwanted(&mut self, wanted: &Set<Digest>) {
+    /// Aborts transfers, and discards chunks and manifests, of versions that are no longer wanted.
+    fn discard_unwanted(&mut self, wanted: &Set<Digest>) {
         self.transfers.retain(|version, transfer| {
             let keep = wanted.contains(version) && !transfer.task.is_finished();
             if !keep {
@@ -147,14 +149,14 @@
         if manifests.len() == before {
             return;
         }
-        let kept: Set<Digest> = manifests.values().flat_map(|m| m.chunks.clone()).collect();
+        let retained: Set<Digest> = manifests.values().flat_map(|m| m.chunks.clone()).collect();
         drop(manifests);
-        self.agent.chunks().retain(|chunk| kept.contains(chunk));
+        self.agent.chunks().retain(|chunk| retained.contains(chunk));
     }
 
-    fn start_missing(&mut self, wanted: &[Wanted], loaded: &Set<Digest>) {
+    fn start_missing(&mut self, wanted: &[WantedVersion], loaded: &Set<Digest>) {
         let slots = self.agent.cfg.engine_slots as usize;
-        let mut missing: Vec<&Wanted> = wanted
+        let mut missing: Vec<&WantedVersion> = wanted
             .iter()
             .filter(|w| w.version.digest().is_some_and(|d| !loaded.contains(&d)))
             .collect();
@@ -163,13 +165,17 @@
             let Some(version) = w.version.digest() else {
                 continue;
             };
-            let room = loaded.len() + self.transfers.len() < slots;
-            if self.transfers.contains_key(&version) || !room {
+            let has_capacity = loaded.len() + self.transfers.len() < slots;
+            if self.transfers.contains_key(&version) || !has_capacity {
                 continue;
             }
             let permille = Arc::new(AtomicU64::new(0));
-            let task = tokio::spawn(bring_in(self.agent.clone(), version, permille.clone()));
-            info!(target: PART, "{PART}: {} {} is wanted; fetching it", w.model, version.short());
+            let task = tokio::spawn(fetch_and_load(
+                self.agent.clone(),
+                version,
+                permille.clone(),
+            ));
+            info!(target: PART, "{PART}: {} {} is wanted; fetching", w.model, version.short());
             self.transfers.insert(version, Transfer { task, permille });
         }
     }
@@ -177,15 +183,15 @@
     fn retire(&mut self, wanted: &Set<Digest>, loaded: &Set<Digest>) {
         for version in loaded.difference(wanted) {
             if !self.retiring.contains_key(version) {
-                info!(target: PART, "{PART}: {} is no longer wanted; dropping it", version.short());
-                let task = tokio::spawn(drop_version(self.agent.clone(), *version));
+                info!(target: PART, "{PART}: {} is no longer wanted; draining and unloading", version.short());
+                let task = tokio::spawn(drain_and_unload(self.agent.clone(), *version));
                 self.retiring.insert(*version, task);
             }
         }
     }
 
-    /// Sets the gate, and tells the entries.
-    fn publish(&self, wanted: &[Wanted], live: Set<Version>) {
+    /// Updates the gate and the holdings that are sent to the entries.
+    fn publish(&self, wanted: &[WantedVersion], live: Set<Version>) {
         let holdings: Vec<Holding> = wanted
             .iter()
             .map(|w| Holding {
@@ -213,8 +219,8 @@
     }
 }
 
-/// Rows that this VM is to run by the edition in force.
-fn wanted(agent: &Agent) -> Vec<Wanted> {
+/// Returns the versions that this VM has to run by the table in force.
+fn wanted(agent: &Agent) -> Vec<WantedVersion> {
     let cfg = &agent.cfg;
     let view = agent.active_table.current();
     view.table
@@ -223,7 +229,7 @@
         .filter(|row| row.permits(&cfg.upkeep.domain, agent.active_table.domains()))
         .filter(|row| cfg.runs(&row.model))
         .filter(|row| cfg.is_engine() == row.version.digest().is_some())
-        .map(|row| Wanted {
+        .map(|row| WantedVersion {
             model: row.model.clone(),
             version: row.version.clone(),
             priority: row.priority,
@@ -231,8 +237,8 @@
         .collect()
 }
 
-/// Fetches a version and has the engine load it.
-async fn bring_in(agent: Arc<Agent>, version: Digest, permille: Arc<AtomicU64>) {
+/// Fetches a version and orders the engine to load it.
+async fn fetch_and_load(agent: Arc<Agent>, version: Digest, permille: Arc<AtomicU64>) {
     let manifest = fetch(agent.clone(), version, permille).await;
     loop {
         match load(&agent, version, &manifest).await {
@@ -247,10 +253,10 @@
             }
             Err(e) => warn!(target: PART, "{PART}: {} is not loaded: {e}", version.short()),
         }
-        tokio::time::sleep(ORDER_PAUSE).await;
+        tokio::time::sleep(ORDER_RETRY_INTERVAL).await;
         if matches!(agent.engine.state().await, Ok(state) if state.staged.iter().all(|s| s.version != version))
         {
-            // The engine lost what was staged; the next step fetches it anew.
+            // The engine lost the staged chunks; the next reconciliation fetches them again.
             return;
         }
     }
@@ -265,8 +271,8 @@
     agent.engine.load(&order, agent.fence()).await
 }
 
-/// Reads the state of an engine that ignores fencing numbers just before an order, since it would
-/// take one from an agent that has lost the VM. One that honours them refuses by itself.
+/// Checks that no other agent has taken over the VM, by the state of an engine that ignores fencing numbers: it would
+/// accept an order of a superseded agent. An engine that honours them refuses such an order by itself.
 async fn check_fence(agent: &Agent) -> Result<(), EngineError> {
     if agent.cfg.fencing {
         return Ok(());
@@ -278,8 +284,8 @@
     }
 }
 
-/// Takes a version out of the gate, lets its requests end, and has the engine drop it.
-async fn drop_version(agent: Arc<Agent>, version: Digest) {
+/// Removes a version from the gate, waits for its requests to complete, and orders the engine to unload it.
+async fn drain_and_unload(agent: Arc<Agent>, version: Digest) {
     let row = Version::Weights(version);
     agent.gate.retire(&row);
     if !agent
@@ -287,15 +293,15 @@
         .wait_drained(Some(&row), agent.cfg.upkeep.drain_timeout)
         .await
     {
-        warn!(target: PART, "{PART}: requests of {} outlasted the drain", version.short());
+        warn!(target: PART, "{PART}: the drain of {} timed out with requests running", version.short());
     }
     let ordered = match check_fence(&agent).await {
         Ok(()) => agent.engine.unload(version, agent.fence()).await,
         Err(e) => Err(e),
     };
     match ordered {
-        Ok(()) => info!(target: PART, "{PART}: the engine dropped {}", version.short()),
+        Ok(()) => info!(target: PART, "{PART}: the engine unloaded {}", version.short()),
         Err(EngineError::Fenced(_)) => agent.mark_superseded(),
-        Err(e) => warn!(target: PART, "{PART}: {} is not dropped: {e}", version.short()),
+        Err(e) => warn!(target: PART, "{PART}: {} is not unloaded: {e}", version.short()),
     }
 }
