--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -1,4 +1,4 @@
-//! Admin address of an agent.
+//! The agent's admin server: health, readiness, metrics and status.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 use crate::Agent;
 use crate::run::Render;
 
-/// State of an agent.
+/// Body of the response to `/status`.
 #[derive(Debug, Serialize)]
 struct Status {
     vm: String,
@@ -28,7 +28,7 @@
     control_bytes: (u64, u64),
 }
 
-/// Answers on the admin address.
+/// Handles a request to the admin address.
 pub async fn handle(agent: Arc<Agent>, req: Request, metrics: Render) -> Response {
     match req.uri().path() {
         "/health" => web::text(200, "up\n"),
--- a/crates/agent/src/chunk.rs
+++ b/crates/agent/src/chunk.rs
@@ -1,4 +1,4 @@
-//! Brings one chunk, a map of what a peer has, or a manifest, from where it is.
+//! Fetches single chunks, chunk maps and manifests from peers, the origin and the object store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,46 +25,46 @@
 /// Log prefix of this part.
 const PART: &str = "bring";
 
-/// Longest wait for what a peer has; one that is silent must not hold up the others.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout for a chunk map of a peer. It is short, since an unresponsive peer must not delay the polling of others.
+const CHUNK_MAP_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Pause before a manifest that nobody has is looked for again.
-const MANIFEST_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between attempts to find a manifest.
+const MANIFEST_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Largest manifest, in bytes.
-const MAX_MANIFEST: usize = 80 << 20;
+/// Maximum size of a manifest, in bytes.
+const MAX_MANIFEST_BYTES: usize = 80 << 20;
 
-/// Why a chunk did not come.
+/// Why a chunk could not be fetched or staged.
 #[derive(Debug, Display)]
 pub enum ChunkError {
-    /// the source was not reached or broke off ({0})
+    /// the source is unreachable or the transfer was interrupted ({0})
     Source(String),
     /// the source is busy
     Busy,
-    /// the source has it not
+    /// the source doesn't hold the chunk
     Absent,
     /// {0}
     Bad(StoreError),
-    /// the engine did not take the chunk ({0})
+    /// the engine did not accept the chunk ({0})
     Engine(crate::engine::EngineError),
 }
 
-/// Takes one chunk from its source, checks and keeps it, and stages it at the engine. Gives back
-/// what the source says it has, where it says so.
+/// Fetches one chunk from its source, verifies and stores it, and stages it at the engine. A chunk that is already
+/// stored is only staged. Returns the chunk map of the source if the response has one.
 pub async fn fetch_chunk(
     agent: &Agent,
     version: Digest,
     manifest: &Manifest,
     i: usize,
-    held: Option<Bytes>,
+    stored: Option<Bytes>,
     source: Source,
 ) -> Result<Option<Vec<bool>>, ChunkError> {
-    let (buf, have) = match held {
+    let (buf, have) = match stored {
         Some(buf) => (buf, None),
         None => {
-            let (buf, have) = take(agent, version, manifest, i, source).await?;
-            let kept = agent.chunks().put(manifest.chunks[i], buf.clone());
-            kept.map_err(ChunkError::Bad)?;
+            let (buf, have) = download(agent, version, manifest, i, source).await?;
+            let put = agent.chunks().put(manifest.chunks[i], buf.clone());
+            put.map_err(ChunkError::Bad)?;
             (buf, have)
         }
     };
@@ -72,7 +72,7 @@
     staged.map(|()| have).map_err(ChunkError::Engine)
 }
 
-async fn take(
+async fn download(
     agent: &Agent,
     version: Digest,
     manifest: &Manifest,
@@ -91,7 +91,7 @@
                 .range(version, first, end)
                 .await
                 .map_err(|e| ChunkError::Source(e.to_string()))?;
-            count(&agent.chunk_counts.origin, "origin", buf.len());
+            record_bytes(&agent.chunk_counts.origin, "origin", buf.len());
             Ok((buf, None))
         }
         Source::Peer(addr) => {
@@ -104,16 +104,16 @@
                 agent.cfg.chunk_timeout,
             )
             .await?;
-            count(&agent.chunk_counts.peers, "peer", buf.len());
+            record_bytes(&agent.chunk_counts.peers, "peer", buf.len());
             let have = web::header(&headers, header::HAVE).map(decode_chunk_map);
             Ok((buf, have))
         }
     }
 }
 
-fn count(chunk_counts: &AtomicU64, from: &'static str, n: usize) {
+fn record_bytes(chunk_counts: &AtomicU64, direction: &'static str, n: usize) {
     chunk_counts.fetch_add(n as u64, Ordering::Relaxed);
-    metrics::counter!("driftnotch_chunk_bytes_total", "direction" => from).increment(n as u64);
+    metrics::counter!("driftnotch_chunk_bytes_total", "direction" => direction).increment(n as u64);
 }
 
 async fn get(
@@ -121,7 +121,7 @@
     addr: SocketAddr,
     path: &str,
     limit: usize,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<(Bytes, HeaderMap), ChunkError> {
     let req = hyper::Request::builder()
         .uri(path)
@@ -130,23 +130,23 @@
         .map_err(|e| ChunkError::Source(e.to_string()))?;
     let res = agent
         .client
-        .send(addr, req, within)
+        .send(addr, req, timeout)
         .await
         .map_err(|e| ChunkError::Source(e.to_string()))?;
     let (head, body) = res.into_parts();
     match head.status.as_u16() {
-        200 => read_body(body, limit, within)
+        200 => read_body(body, limit, timeout)
             .await
             .map(|buf| (buf, head.headers))
             .map_err(|e| ChunkError::Source(e.to_string())),
         404 => Err(ChunkError::Absent),
         429 => Err(ChunkError::Busy),
-        status => Err(ChunkError::Source(format!("it answered {status}"))),
+        status => Err(ChunkError::Source(format!("status {status}"))),
     }
 }
 
-/// Which chunks a peer says it has; none of a version it doesn't know. `None` where it doesn't
-/// answer soon.
+/// Returns the chunk map of a peer; an empty one if it doesn't know the version, `None` if it fails to respond within
+/// [`CHUNK_MAP_TIMEOUT`].
 pub async fn fetch_chunk_map(
     agent: &Agent,
     addr: SocketAddr,
@@ -154,14 +154,14 @@
 ) -> Option<Vec<bool>> {
     let path = format!("/have/{version}");
     let limit = weights::manifest::MAX_CHUNKS;
-    match get(agent, addr, &path, limit, LOOK_TIMEOUT).await {
+    match get(agent, addr, &path, limit, CHUNK_MAP_TIMEOUT).await {
         Ok((buf, _)) => Some(buf.iter().map(|b| *b == crate::peer::HELD).collect()),
         Err(ChunkError::Absent) => Some(Vec::new()),
         Err(_) => None,
     }
 }
 
-/// Agents that fetch or hold a version, by an entry; `None` where none can be asked.
+/// Returns the agents that fetch or hold a version, as listed by an entry; `None` if no entry is reachable.
 pub async fn request_peers(agent: &Agent, version: Version) -> Option<Vec<Peer>> {
     let (tx, rx) = oneshot::channel();
     agent
@@ -172,14 +172,14 @@
     rx.await.ok()
 }
 
-/// The manifest of a version, from a peer or the object store, for as long as it takes.
+/// Returns the manifest of a version, from a peer or the object store. Retries until it is found.
 pub async fn find_manifest(agent: &Agent, version: Digest) -> Arc<Manifest> {
     let mut warned = false;
     loop {
         if let Some(manifest) = agent.manifests().get(&version) {
             return manifest.clone();
         }
-        if let Some(manifest) = manifest_of_peers(agent, version).await {
+        if let Some(manifest) = fetch_manifest_from_peer(agent, version).await {
             return Arc::new(manifest);
         }
         match agent.objects.manifest(version).await {
@@ -192,11 +192,11 @@
             Err(e @ PlatformError::InvalidResponse(_)) => warn!(target: PART, "{PART}: {e}"),
             Ok(None) | Err(_) => {}
         }
-        tokio::time::sleep(MANIFEST_PAUSE).await;
+        tokio::time::sleep(MANIFEST_RETRY_INTERVAL).await;
     }
 }
 
-async fn manifest_of_peers(agent: &Agent, version: Digest) -> Option<Manifest> {
+async fn fetch_manifest_from_peer(agent: &Agent, version: Digest) -> Option<Manifest> {
     let peers = request_peers(agent, Version::Weights(version)).await?;
     let own = &agent.cfg.upkeep.vm;
     let others: Vec<Peer> = peers.into_iter().filter(|p| p.vm != *own).collect();
@@ -206,7 +206,7 @@
         agent,
         peer.addr,
         &path,
-        MAX_MANIFEST,
+        MAX_MANIFEST_BYTES,
         agent.cfg.chunk_timeout,
     )
     .await
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -1,8 +1,7 @@
-//! The model engine, through a narrow set of functions.
+//! Control client of the model engine.
 //!
-//! Everything an engine is told or asked beyond requests is met here and nowhere else. Orders
-//! carry a fencing number; an engine that honours it refuses orders of an earlier holder.
-//! docs/ENGINE.md writes the protocol down.
+//! All communication with an engine other than requests of callers is in this module. Orders carry a fencing number;
+//! an engine that honours it refuses orders of an earlier agent. docs/ENGINE.md describes the protocol.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,30 +14,30 @@
 use web::{Client, DialOptions, read_body};
 use weights::Manifest;
 
-/// Largest answer of an engine about itself, in bytes.
-const MAX_STATE: usize = 1 << 20;
+/// Maximum size of a response of an engine, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// State an engine reports.
+/// State that an engine reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Number that changes when the engine starts anew, empty.
+    /// Number that changes when the engine restarts without loaded versions.
     pub incarnation: Incarnation,
-    /// Versions loaded whole.
+    /// Versions that are completely loaded.
     pub loaded: Vec<Digest>,
-    /// Chunks staged of versions not loaded.
+    /// Staged chunks of versions that are not loaded.
     pub staged: Vec<Staged>,
-    /// Highest fencing number of an order it took.
+    /// Highest fencing number of the orders that it has accepted.
     pub fence: Fence,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
 }
 
-/// Chunks of a version an engine has staged.
+/// Staged chunks of a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Staged {
     /// Version.
     pub version: Digest,
-    /// Indices.
+    /// Indices of the chunks.
     pub chunks: Vec<u32>,
 }
 
@@ -51,7 +50,7 @@
     pub manifest: Manifest,
 }
 
-/// An order to drop a version and its staged chunks.
+/// An order to unload a version and discard its staged chunks.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct UnloadOrder {
     /// Version.
@@ -63,17 +62,17 @@
 pub enum EngineError {
     /// the engine is down or unreachable ({0}); check that it runs
     Unreachable(String),
-    /// the engine took an order with the later fencing number {0}; another agent runs this VM
+    /// the engine accepted an order with the higher fencing number {0}; another agent runs this VM
     Fenced(Fence),
     /// the engine refused ({0}: {1}); check its log
     Refused(u16, String),
-    /// the engine's answer makes no sense ({0}); check its address in the settings
+    /// the engine's response is invalid ({0}); check its address in the settings
     InvalidResponse(String),
 }
 
 impl std::error::Error for EngineError {}
 
-/// Access to an engine.
+/// Client of an engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
     client: Client,
@@ -83,7 +82,7 @@
 }
 
 impl Engine {
-    /// The engine at an address.
+    /// Creates a client of the engine at an address.
     pub fn new(addr: SocketAddr, timeout: Duration, load_timeout: Duration) -> Engine {
         Engine {
             client: Client::new(DialOptions::with_timeout(timeout)),
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Its state.
+    /// Queries the state of the engine.
     pub async fn state(&self) -> Result<EngineState, EngineError> {
         let buf = self
             .call(Method::GET, "/state", Bytes::new(), 0, self.timeout)
@@ -101,7 +100,7 @@
         serde_json::from_slice(&buf).map_err(|e| EngineError::InvalidResponse(e.to_string()))
     }
 
-    /// Hands it a verified chunk of a version.
+    /// Stages a verified chunk of a version.
     pub async fn stage(
         &self,
         version: Digest,
@@ -115,7 +114,7 @@
             .map(drop)
     }
 
-    /// Orders it to load a version; returns when it says it has.
+    /// Orders the engine to load a version; returns once it has confirmed the load.
     pub async fn load(&self, order: &LoadOrder, fence: Fence) -> Result<(), EngineError> {
         let buf = serde_json::to_vec(order).expect("plain data");
         self.call(Method::POST, "/load", buf.into(), fence, self.load_timeout)
@@ -123,7 +122,7 @@
             .map(drop)
     }
 
-    /// Orders it to drop a version.
+    /// Orders the engine to unload a version.
     pub async fn unload(&self, version: Digest, fence: Fence) -> Result<(), EngineError> {
         let buf = serde_json::to_vec(&UnloadOrder { version }).expect("plain data");
         self.call(Method::POST, "/unload", buf.into(), fence, self.timeout)
@@ -137,7 +136,7 @@
         path: &str,
         buf: Bytes,
         fence: Fence,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, EngineError> {
         let req = Request::builder()
             .method(method)
@@ -147,11 +146,11 @@
             .map_err(|e| EngineError::InvalidResponse(e.to_string()))?;
         let res = self
             .client
-            .send(self.addr, req, within)
+            .send(self.addr, req, timeout)
             .await
             .map_err(|e| EngineError::Unreachable(e.to_string()))?;
         let (head, body) = res.into_parts();
-        let buf = read_body(body, MAX_STATE, within)
+        let buf = read_body(body, MAX_RESPONSE_BYTES, timeout)
             .await
             .map_err(|e| EngineError::Unreachable(e.to_string()))?;
         match head.status {
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches one version, chunk by chunk, and hands it to the engine.
+//! Fetches the chunks of one version and stages them at the engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,23 +21,23 @@
 /// Log prefix of this part.
 const PART: &str = "fetch";
 
-/// Time between two looks at who has what.
-const LOOK: Duration = Duration::from_millis(40);
+/// Interval between polls of the chunks that peers hold.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Chunks drawn from the origin at once; more would wait in its queue and hold up fetches from
-/// peers.
-const ORIGIN_FETCHES: usize = 1;
+/// Maximum number of concurrent chunk fetches from the origin; more would be queued there and take the place of fetches
+/// from peers.
+const MAX_ORIGIN_FETCHES: usize = 1;
 
-/// Time between two questions to the entries.
-const ASK: Duration = Duration::from_millis(500);
+/// Interval between queries of an entry for the list of peers.
+const PEERS_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time in which all agents learn who else wants a version, before any draws from the origin.
-const SETTLE: Duration = Duration::from_millis(80);
+/// Time in which all agents discover the others that want a version, before any fetches from the origin.
+const SETTLE_TIME: Duration = Duration::from_millis(80);
 
-/// Agents of the own failure domain, and of others, looked at at once.
-const LOOK_AT: [usize; 2] = [6, 3];
+/// Maximum number of agents of the own failure domain, and of others, that are polled at once.
+const MAX_POLLED: [usize; 2] = [6, 3];
 
-/// A version on its way in.
+/// A fetch of one version.
 struct Fetch {
     agent: Arc<Agent>,
     version: Digest,
@@ -45,15 +45,15 @@
     policy: SourcePolicy,
     swarm: Swarm,
     wanted: Set<usize>,
-    begun: Instant,
+    started: Instant,
     in_flight: Set<usize>,
     from_origin: usize,
-    /// When a chunk last came from a peer.
-    progress: Instant,
+    /// Last time that a chunk arrived from a peer.
+    last_progress: Instant,
     permille: Arc<AtomicU64>,
 }
 
-/// A chunk that came, or did not.
+/// Outcome of a chunk fetch.
 struct Fetched {
     i: usize,
     source: Source,
@@ -61,34 +61,34 @@
     result: Result<Option<Vec<bool>>, ChunkError>,
 }
 
-/// Brings all chunks of a version to the engine. `permille` follows the progress.
+/// Fetches all chunks of a version and stages them at the engine. `permille` is updated with the progress.
 ///
-/// Chunks that the engine has staged for an earlier process are brought again: peers may wait for
-/// this VM to draw them, and what the engine has can't be read back.
+/// Chunks that the engine has staged for an earlier agent process are fetched again: peers may wait for this VM to
+/// fetch them from the origin, and staged chunks can't be read back from the engine.
 pub async fn fetch(agent: Arc<Agent>, version: Digest, permille: Arc<AtomicU64>) -> Arc<Manifest> {
     let manifest = find_manifest(&agent, version).await;
     agent.manifests().insert(version, manifest.clone());
     let now = clock::now();
     let mut fetch = Fetch {
-        policy: rule(&agent, version),
+        policy: policy(&agent, version),
         swarm: Swarm::default(),
         wanted: (0..manifest.chunks.len()).collect(),
-        begun: now,
+        started: now,
         in_flight: Set::default(),
         from_origin: 0,
-        progress: now,
+        last_progress: now,
         permille,
         agent,
         version,
         manifest,
     };
     fetch.run().await;
-    let took = clock::since(now);
-    info!(target: PART, "{PART}: {} is staged whole after {took:?}", version.short());
+    let elapsed = clock::since(now);
+    info!(target: PART, "{PART}: {} is fully staged after {elapsed:?}", version.short());
     fetch.manifest
 }
 
-fn rule(agent: &Agent, version: Digest) -> SourcePolicy {
+fn policy(agent: &Agent, version: Digest) -> SourcePolicy {
     let (view, domains) = (agent.active_table.current(), agent.active_table.domains());
     let version = Version::Weights(version);
     let permits = |domain: &&String| view.table.permits_weights(&version, domain, domains);
@@ -97,7 +97,7 @@
         vm: agent.cfg.upkeep.vm.clone(),
         domain: agent.cfg.upkeep.domain.clone(),
         permitted,
-        settle_time: SETTLE,
+        settle_time: SETTLE_TIME,
         copy_per_domain: agent.cfg.origin_copies == "domain",
         limit_sources: false,
         origin_wait: agent.cfg.origin_patience,
@@ -109,20 +109,20 @@
 impl Fetch {
     async fn run(&mut self) {
         let mut fetching: JoinSet<Fetched> = JoinSet::new();
-        let mut asked: Option<Instant> = None;
-        let mut look = tokio::time::interval(LOOK);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut last_refresh: Option<Instant> = None;
+        let mut ticks = tokio::time::interval(POLL_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         while !self.wanted.is_empty() {
             tokio::select! {
-                _ = look.tick() => {
-                    if asked.is_none_or(|at| clock::since(at) > ASK) {
-                        self.ask_entries().await;
-                        asked = Some(clock::now());
+                _ = ticks.tick() => {
+                    if last_refresh.is_none_or(|at| clock::since(at) > PEERS_QUERY_INTERVAL) {
+                        self.refresh_peers().await;
+                        last_refresh = Some(clock::now());
                     }
-                    self.look_at_peers().await;
+                    self.poll_peers().await;
                 }
                 Some(done) = fetching.join_next() => match done {
-                    Ok(fetched) => self.took(fetched),
+                    Ok(fetched) => self.handle(fetched),
                     Err(e) => warn!(target: PART, "{PART}: a fetch failed: {e}"),
                 },
             }
@@ -130,23 +130,23 @@
         }
     }
 
-    async fn ask_entries(&mut self) {
+    async fn refresh_peers(&mut self) {
         let version = Version::Weights(self.version);
         if let Some(peers) = request_peers(&self.agent, version).await {
             self.swarm.set_peers(&self.policy.vm, peers);
         }
     }
 
-    async fn look_at_peers(&mut self) {
-        let near = self.sample(|p| p.domain == self.policy.domain, LOOK_AT[0]);
-        let far = self.sample(|p| p.domain != self.policy.domain, LOOK_AT[1]);
-        let mut looks = JoinSet::new();
+    async fn poll_peers(&mut self) {
+        let near = self.sample(|p| p.domain == self.policy.domain, MAX_POLLED[0]);
+        let far = self.sample(|p| p.domain != self.policy.domain, MAX_POLLED[1]);
+        let mut polls = JoinSet::new();
         for addr in near.into_iter().chain(far) {
             let (agent, version) = (self.agent.clone(), self.version);
-            looks.spawn(async move { (addr, fetch_chunk_map(&agent, addr, version).await) });
+            polls.spawn(async move { (addr, fetch_chunk_map(&agent, addr, version).await) });
         }
-        while let Some(looked) = looks.join_next().await {
-            match looked {
+        while let Some(polled) = polls.join_next().await {
+            match polled {
                 Ok((addr, Some(have))) => self.swarm.set_have(addr, have),
                 Ok((addr, None)) => self.swarm.record_unresponsive(addr),
                 Err(_) => {}
@@ -154,12 +154,12 @@
         }
     }
 
-    fn sample(&self, of: impl Fn(&Peer) -> bool, n: usize) -> Vec<SocketAddr> {
+    fn sample(&self, matches: impl Fn(&Peer) -> bool, n: usize) -> Vec<SocketAddr> {
         let addrs: Vec<SocketAddr> = self
             .swarm
             .peers()
             .iter()
-            .filter(|p| of(p) && self.swarm.can_request(p.addr, &self.policy))
+            .filter(|p| matches(p) && self.swarm.can_request(p.addr, &self.policy))
             .map(|p| p.addr)
             .collect();
         addrs.sample(&mut rand::rng(), n).copied().collect()
@@ -170,12 +170,12 @@
         if self.in_flight.len() >= self.agent.cfg.fetches as usize {
             return;
         }
-        for (i, source, held) in self.most_urgent() {
-            let from_origin = source == Source::Origin && held.is_none();
+        for (i, source, stored) in self.ready_chunks() {
+            let from_origin = source == Source::Origin && stored.is_none();
             if self.in_flight.len() >= self.agent.cfg.fetches as usize {
                 return;
             }
-            if from_origin && self.from_origin >= ORIGIN_FETCHES {
+            if from_origin && self.from_origin >= MAX_ORIGIN_FETCHES {
                 continue;
             }
             self.from_origin += usize::from(from_origin);
@@ -186,7 +186,7 @@
             let (agent, version, manifest) =
                 (self.agent.clone(), self.version, self.manifest.clone());
             fetching.spawn(async move {
-                let result = fetch_chunk(&agent, version, &manifest, i, held, source).await;
+                let result = fetch_chunk(&agent, version, &manifest, i, stored, source).await;
                 Fetched {
                     i,
                     source,
@@ -197,10 +197,10 @@
         }
     }
 
-    /// Chunks that can be taken now, each with its source, or its bytes where they are held from
-    /// another version.
-    fn most_urgent(&self) -> Vec<(usize, Source, Option<Bytes>)> {
-        let (waited, stalled) = (clock::since(self.begun), clock::since(self.progress));
+    /// Returns the chunks that can be fetched now, most urgent first, each with its source. A chunk that is already
+    /// stored for another version has its bytes instead.
+    fn ready_chunks(&self) -> Vec<(usize, Source, Option<Bytes>)> {
+        let (waited, stalled) = (clock::since(self.started), clock::since(self.last_progress));
         let selector = self.swarm.selector(&self.policy, waited, stalled);
         let mut ready: Vec<_> = self
             .wanted
@@ -218,11 +218,11 @@
         ready.sort_by_key(|(urgency, ..)| *urgency);
         ready
             .into_iter()
-            .map(|(_, i, source, held)| (i, source, held))
+            .map(|(_, i, source, stored)| (i, source, stored))
             .collect()
     }
 
-    fn took(&mut self, fetched: Fetched) {
+    fn handle(&mut self, fetched: Fetched) {
         let Fetched { i, source, .. } = fetched;
         self.in_flight.remove(&i);
         self.from_origin -= usize::from(fetched.from_origin);
@@ -236,8 +236,8 @@
                 }
                 self.wanted.remove(&i);
                 if !fetched.from_origin {
-                    // What this agent draws is no sign that others bring chunks.
-                    self.progress = clock::now();
+                    // A chunk from the origin doesn't show that peers make progress.
+                    self.last_progress = clock::now();
                 }
                 let all = self.manifest.chunks.len();
                 let permille = (all - self.wanted.len()) * 1000 / all;
@@ -246,7 +246,7 @@
             (Err(ChunkError::Busy), Source::Peer(addr)) => self.swarm.record_busy(addr),
             (Err(ChunkError::Absent), Source::Peer(addr)) => self.swarm.record_absent(addr),
             (Err(ChunkError::Bad(e)), source) => {
-                warn!(target: PART, "{PART}: a bad chunk came from {source:?}: {e}");
+                warn!(target: PART, "{PART}: bad chunk from {source:?}: {e}");
                 self.agent.chunk_counts.bad.fetch_add(1, Ordering::Relaxed);
                 metrics::counter!("driftnotch_bad_chunks_total").increment(1);
                 if let Source::Peer(addr) = source {
@@ -254,7 +254,7 @@
                 }
             }
             (Err(ChunkError::Source(why)), Source::Peer(addr)) => {
-                debug!(target: PART, "{PART}: {addr} gave no chunk {i}: {why}");
+                debug!(target: PART, "{PART}: no chunk {i} from {addr}: {why}");
                 self.swarm.record_unresponsive(addr);
             }
             (Err(e), source) => debug!(target: PART, "{PART}: no chunk {i} from {source:?}: {e}"),
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,11 +1,13 @@
-//! The agent: the only process that talks to its VM's upstream.
+//! The agent: the only process that communicates with its VM's upstream.
 //!
-//! A request's way: [`metadata`] reads what an entry sent, [`gate`] lets it in or refuses it for
-//! certain, [`handle`] runs it at the upstream, and [`ledger`] remembers unsafe ones. Weights:
-//! [`rollout`] compares the table with what the engine has, [`fetch`] brings a version's chunks
-//! in, one by one ([`chunk`]), from the sources that [`swarm`] ranks, [`peer`] passes them on at
-//! the [`pace`] that requests leave, and [`engine`] gives orders.
-//! [`links`] keeps links to the entries of the failure domain.
+//! Requests: [`metadata`] reads the headers that an entry sent, [`gate`] admits or refuses the request, [`handle`]
+//! sends it to the upstream, and [`ledger`] records unsafe ones.
+//!
+//! Weights: [`rollout`] reconciles the engine with the table, [`fetch`] fetches the chunks of a version, each with
+//! [`chunk`], from the sources that [`swarm`] selects, [`peer`] serves them to other agents at the rate that [`pace`]
+//! permits, and [`engine`] sends orders.
+//!
+//! [`links`] maintains links to entries of the failure domain.
 
 #![deny(clippy::disallowed_methods)]
 
@@ -37,47 +39,47 @@
 use wire::counted::Traffic;
 use wire::{Holding, Peer};
 
-/// A question to the entries: who fetches or holds a version.
+/// A query to an entry for the agents that fetch or hold a version.
 #[derive(Debug)]
 pub struct PeersRequest {
     /// Version.
     pub version: Version,
-    /// Takes the answer; dropped where no entry can be asked.
+    /// Receives the response; dropped if no entry is reachable.
     pub tx: tokio::sync::oneshot::Sender<Vec<Peer>>,
 }
 
-/// An agent.
+/// State of an agent process.
 #[derive(Debug)]
 pub struct Agent {
     /// Settings.
     pub cfg: AgentCfg,
     /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// The edition it serves by.
+    /// The table in force.
     pub active_table: Arc<ActiveTable>,
-    /// Lets requests in.
+    /// Admission of requests.
     pub gate: gate::Gate,
-    /// Unsafe requests.
+    /// Record of unsafe requests.
     pub ledger: ledger::Ledger,
-    /// The upstream's orders.
+    /// Control client of the engine.
     pub engine: engine::Engine,
-    /// Client towards the upstream and peers.
+    /// HTTP client for the upstream and peers.
     pub client: web::Client,
     /// Object store of manifests.
     pub objects: store::Objects,
     /// Origin of weights.
     pub origin: store::Origin,
-    /// Questions to the entries.
+    /// Queries to the entries.
     pub peers_requests: mpsc::Sender<PeersRequest>,
-    /// Bytes of control links.
+    /// Traffic of control links.
     pub traffic: Traffic,
-    /// Bytes of chunks taken from peers and from the origin.
+    /// Counts of fetched chunks.
     pub chunk_counts: ChunkCounts,
-    /// Pace of weights sent.
+    /// Pacer of weights sent.
     pub upload_pacer: Arc<pace::Pacer>,
-    /// Pace of weights fetched.
+    /// Pacer of weights fetched.
     pub download_pacer: Arc<pace::Pacer>,
-    /// What the entries are told of versions.
+    /// Versions and their progress, as sent to the entries.
     pub holdings: watch::Sender<Vec<Holding>>,
     chunks: Mutex<ChunkStore>,
     manifests: Mutex<Map<Digest, Arc<Manifest>>>,
@@ -86,62 +88,62 @@
     superseded: AtomicBool,
 }
 
-/// Bytes of chunks, by where they came from.
+/// Bytes of fetched chunks by source, and the number of bad chunks.
 #[derive(Debug, Default)]
 pub struct ChunkCounts {
-    /// From the origin.
+    /// Bytes from the origin.
     pub origin: AtomicU64,
-    /// From peers.
+    /// Bytes from peers.
     pub peers: AtomicU64,
-    /// Chunks whose digest was wrong.
+    /// Number of chunks with a wrong digest.
     pub bad: AtomicU64,
 }
 
 impl Agent {
-    /// Chunks kept to pass on.
+    /// Returns the chunks that are stored for peers.
     pub fn chunks(&self) -> MutexGuard<'_, ChunkStore> {
         self.chunks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Manifests of the versions it fetches or holds.
+    /// Returns the manifests of the versions that this agent fetches or holds.
     pub fn manifests(&self) -> MutexGuard<'_, Map<Digest, Arc<Manifest>>> {
         self.manifests
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Fencing number of its orders.
+    /// Returns the fencing number for orders.
     pub fn fence(&self) -> Fence {
         self.fence.load(Ordering::Relaxed)
     }
 
-    /// Raises the fencing number above that of earlier holders, before the first order.
+    /// Raises the fencing number above that of earlier agents; to be called before the first order.
     pub fn raise_fence(&self, seen: Fence) {
         self.fence.fetch_max(seen + 1, Ordering::Relaxed);
     }
 
-    /// Whether it takes no new work.
+    /// Returns whether the agent is leaving and refuses new requests.
     pub fn is_leaving(&self) -> bool {
         *self.leaving.borrow()
     }
 
-    /// Takes no new work from now on.
+    /// Refuses new requests from now on, and announces that the agent is leaving.
     pub fn start_leaving(&self) {
         self.gate.close();
         self.leaving.send_replace(true);
     }
 
-    /// Follows whether it is leaving.
+    /// Returns a receiver of changes of [`Agent::is_leaving`].
     pub fn watch_leaving(&self) -> watch::Receiver<bool> {
         self.leaving.subscribe()
     }
 
-    /// Whether another agent gives this VM's orders now.
+    /// Returns whether another agent controls this VM now.
     pub fn is_superseded(&self) -> bool {
         self.superseded.load(Ordering::Relaxed)
     }
 
-    /// Gives up the VM to another agent.
+    /// Records that another agent controls this VM, and refuses new requests.
     pub fn mark_superseded(&self) {
         self.superseded.store(true, Ordering::Relaxed);
         self.start_leaving();
--- a/crates/agent/src/metadata.rs
+++ b/crates/agent/src/metadata.rs
@@ -1,4 +1,4 @@
-//! What an entry sends with a request.
+//! Metadata that an entry sends with a request, in headers.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use hyper::HeaderMap;
 use table::Version;
 
-/// A request as an entry describes it.
+/// Metadata of a request.
 #[derive(Debug, Clone)]
 pub struct RequestMetadata {
-    /// Request.
+    /// Request id.
     pub id: RequestId,
-    /// Model or plain service.
+    /// Model, or name of a plain service.
     pub model: Model,
-    /// Version it is pinned to.
+    /// Version that the request is pinned to.
     pub version: Version,
-    /// Time left.
+    /// Remaining time until the deadline.
     pub remaining: Duration,
     /// Failure domain of the entry.
     pub domain: DomainName,
-    /// Whether it must run at most once.
-    pub once: bool,
+    /// Whether the request must run at most once.
+    pub at_most_once: bool,
 }
 
 /// the header {0} is missing or makes no sense; send requests through an entry
@@ -30,11 +30,14 @@
 
 impl std::error::Error for InvalidHeader {}
 
-/// Longest name in a header, in bytes.
+/// Maximum length of a header value, in bytes.
 const MAX_NAME: usize = 128;
 
 impl RequestMetadata {
-    /// Reads the headers.
+    /// Reads the metadata from the headers of a request.
+    ///
+    /// # Errors
+    /// The first header that is missing or invalid.
     pub fn read(headers: &HeaderMap) -> Result<RequestMetadata, InvalidHeader> {
         let text = |name: &'static str| {
             web::header(headers, name)
@@ -51,7 +54,7 @@
                 .ok_or(InvalidHeader(header::VERSION))?,
             remaining: Duration::from_millis(ms),
             domain: text(header::DOMAIN)?.to_owned(),
-            once: web::header(headers, header::UNSAFE) == Some("true"),
+            at_most_once: web::header(headers, header::UNSAFE) == Some("true"),
         })
     }
 }
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -1,9 +1,9 @@
-//! Passes chunks on to other agents, over HTTP.
+//! Serves chunks and manifests to other agents, over HTTP.
 //!
-//! `GET /have/VERSION` tells which chunks are held, one character each; `GET /chunk/VERSION/I`
-//! gives one, and in a header says which are held by now; `GET /manifest/VERSION` the manifest.
-//! Weights go only to agents of places that a row permits. Asked beyond its bound, an agent says so
-//! at once and is asked again later.
+//! `GET /have/VERSION` returns the chunk map, one character for each chunk; `GET /chunk/VERSION/I` one chunk, with the
+//! current chunk map in a header; `GET /manifest/VERSION` the manifest. Weights are served only to agents of failure
+//! domains that a row permits. Requests for chunks beyond the concurrency limit are rejected at once, for a later
+//! retry.
 
 use std::sync::Arc;
 
@@ -16,43 +16,43 @@
 use crate::Agent;
 use crate::pace::paced_body;
 
-/// A held chunk in the answer to `/have`.
+/// A held chunk in the response to `/have`.
 pub const HELD: u8 = b'1';
 
 /// A chunk that is not held.
 pub const NOT_HELD: u8 = b'0';
 
-/// Most chunks whose map goes into a header.
-const SHORT_MAP: usize = 16 << 10;
+/// Maximum number of chunks whose map is sent in a header.
+const MAX_HEADER_MAP: usize = 16 << 10;
 
-/// Answers another agent.
-pub async fn handle(agent: Arc<Agent>, serves: Arc<Semaphore>, req: Request) -> Response {
+/// Handles a request of another agent.
+pub async fn handle(agent: Arc<Agent>, upload_slots: Arc<Semaphore>, req: Request) -> Response {
     let path = req.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-    let (what, version, chunk) = match parts.as_slice() {
-        [what, version] => (*what, *version, None),
-        [what, version, chunk] => (*what, *version, chunk.parse::<usize>().ok()),
+    let (resource, version, chunk) = match parts.as_slice() {
+        [resource, version] => (*resource, *version, None),
+        [resource, version, chunk] => (*resource, *version, chunk.parse::<usize>().ok()),
         _ => return web::text(404, "use /manifest, /have or /chunk\n"),
     };
     let Ok(version) = version.parse::<Digest>() else {
         return web::text(400, "the version is no digest; give 64 hex digits\n");
     };
-    let asker = web::header(req.headers(), header::DOMAIN).unwrap_or_default();
-    if !may_have(&agent, version, asker) {
+    let requester_domain = web::header(req.headers(), header::DOMAIN).unwrap_or_default();
+    if !is_permitted(&agent, version, requester_domain) {
         return web::text(403, "no row permits these weights in your failure domain\n");
     }
-    match (what, chunk) {
+    match (resource, chunk) {
         ("manifest", None) => manifest(&agent, version),
         ("have", None) => have(&agent, version),
-        ("chunk", Some(i)) => match serves.try_acquire_owned() {
-            Ok(slot) => chunk_of(&agent, version, i, slot),
+        ("chunk", Some(i)) => match upload_slots.try_acquire_owned() {
+            Ok(slot) => chunk_response(&agent, version, i, slot),
             Err(_) => web::text(429, "too many chunks are being sent; ask again\n"),
         },
         _ => web::text(404, "use /manifest, /have or /chunk\n"),
     }
 }
 
-fn may_have(agent: &Agent, version: Digest, domain: &str) -> bool {
+fn is_permitted(agent: &Agent, version: Digest, domain: &str) -> bool {
     let view = agent.active_table.current();
     let domains = agent.active_table.domains();
     view.table
@@ -71,7 +71,7 @@
 }
 
 fn have(agent: &Agent, version: Digest) -> Response {
-    match held_map(agent, version) {
+    match chunk_map(agent, version) {
         Some(map) => {
             let mut res = web::text(200, "");
             *res.body_mut() = web::full(map);
@@ -81,15 +81,15 @@
     }
 }
 
-/// Which chunks are held, one character each.
-fn held_map(agent: &Agent, version: Digest) -> Option<Vec<u8>> {
+/// Returns the map of the held chunks, one character for each chunk.
+fn chunk_map(agent: &Agent, version: Digest) -> Option<Vec<u8>> {
     let manifest = agent.manifests().get(&version).cloned()?;
     let chunks = agent.chunks();
-    let held = |c| if chunks.contains(c) { HELD } else { NOT_HELD };
-    Some(manifest.chunks.iter().map(held).collect())
+    let stored_chunk = |c| if chunks.contains(c) { HELD } else { NOT_HELD };
+    Some(manifest.chunks.iter().map(stored_chunk).collect())
 }
 
-/// Which chunks are held, four to a hex digit, for a header.
+/// Encodes a chunk map for a header, four chunks to a hex digit.
 fn encode_chunk_map(map: &[u8]) -> String {
     map.chunks(4)
         .map(|four| {
@@ -102,7 +102,7 @@
         .collect()
 }
 
-/// Reads what [`encode_chunk_map`] wrote.
+/// Decodes a chunk map that [`encode_chunk_map`] has encoded.
 pub fn decode_chunk_map(text: &str) -> Vec<bool> {
     text.chars()
         .filter_map(|c| c.to_digit(16))
@@ -110,15 +110,20 @@
         .collect()
 }
 
-/// Sends a chunk at the pace of the link; its slot is taken until its last byte.
-fn chunk_of(agent: &Arc<Agent>, version: Digest, i: usize, slot: OwnedSemaphorePermit) -> Response {
-    match held(agent, version, i) {
+/// Returns a paced response with a chunk; it occupies its slot until its last byte is sent.
+fn chunk_response(
+    agent: &Arc<Agent>,
+    version: Digest,
+    i: usize,
+    slot: OwnedSemaphorePermit,
+) -> Response {
+    match stored_chunk(agent, version, i) {
         Some(buf) => {
             metrics::counter!("driftnotch_chunk_bytes_total", "direction" => "sent")
                 .increment(buf.len() as u64);
             let mut res = web::text(200, "");
             web::set_header(res.headers_mut(), "content-length", &buf.len().to_string());
-            let map = held_map(agent, version).filter(|map| map.len() <= SHORT_MAP);
+            let map = chunk_map(agent, version).filter(|map| map.len() <= MAX_HEADER_MAP);
             if let Some(map) = map {
                 web::set_header(res.headers_mut(), header::HAVE, &encode_chunk_map(&map));
             }
@@ -129,7 +134,7 @@
     }
 }
 
-fn held(agent: &Agent, version: Digest, i: usize) -> Option<Bytes> {
+fn stored_chunk(agent: &Agent, version: Digest, i: usize) -> Option<Bytes> {
     let manifest = agent.manifests().get(&version).cloned()?;
     let chunk = manifest.chunks.get(i)?;
     agent.chunks().get(chunk)
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts an agent, and stops it without cutting off a request.
+//! Starts an agent, and drains it before it stops.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64};
@@ -26,16 +26,16 @@
 /// Log prefix of this part.
 const PART: &str = "agent";
 
-/// Questions to the entries that may wait.
-const MAX_JOBS: usize = 64;
+/// Maximum number of queued peers requests.
+const MAX_PEERS_REQUESTS: usize = 64;
 
-/// Longest wait for a connection to the upstream or a peer.
+/// Timeout for connecting to the upstream or a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an agent could not start.
+/// Why an agent can't start.
 #[derive(Debug, Display)]
 pub enum AgentError {
-    /// {0} can't be listened on ({1}); free the address or change `{2}` in the settings
+    /// can't listen on {0} ({1}); free the address or change `{2}` in the settings
     Listen(SocketAddr, std::io::Error, &'static str),
     /// the control thread can't be started ({0}); free some memory
     Thread(std::io::Error),
@@ -48,31 +48,34 @@
 /// Renders the metrics.
 pub type Render = Arc<dyn Fn() -> String + Send + Sync>;
 
-/// Runs an agent until `stop`, then lets what runs end.
+/// Runs an agent until `stop`, then drains it.
+///
+/// # Errors
+/// An address that can't be listened on, missing settings, or a thread that can't be started.
 pub async fn run(cfg: AgentCfg, mut stop: StopSignal, render: Render) -> Result<(), AgentError> {
     let entries = bind(cfg.listen, "listen").await?;
     let peers = bind(cfg.peer, "peer").await?;
     let admin = bind(cfg.upkeep.admin, "admin").await?;
     let upkeep = cfg.upkeep.clone();
     let serves = Arc::new(Semaphore::new(cfg.serves as usize));
-    let (jobs_tx, jobs) = mpsc::channel(MAX_JOBS);
-    let agent = new_agent(cfg, jobs_tx)?;
+    let (requests_tx, requests) = mpsc::channel(MAX_PEERS_REQUESTS);
+    let agent = new_agent(cfg, requests_tx)?;
     info!(target: PART, "{PART}: {} in {} listens on {}", upkeep.vm, upkeep.domain, agent.cfg.listen);
-    start_links(&agent, jobs)?;
+    start_links(&agent, requests)?;
     tokio::spawn(rollout::run(agent.clone()));
     let (close, closing) = watch::channel(false);
-    let bounds = ServerLimits {
+    let limits = ServerLimits {
         max_connections: upkeep.max_connections,
         header_timeout: upkeep.header_timeout,
         max_header_bytes: upkeep.max_header,
         drain_timeout: upkeep.drain_timeout,
     };
     let a = agent.clone();
-    let entry_server = tokio::spawn(web::serve(entries, bounds, closing.clone(), move |req| {
+    let entry_server = tokio::spawn(web::serve(entries, limits, closing.clone(), move |req| {
         handle::handle(a.clone(), req)
     }));
     let a = agent.clone();
-    let peer_server = tokio::spawn(web::serve(peers, bounds, closing.clone(), move |req| {
+    let peer_server = tokio::spawn(web::serve(peers, limits, closing.clone(), move |req| {
         peer::handle(a.clone(), serves.clone(), req)
     }));
     let a = agent.clone();
@@ -90,14 +93,14 @@
     Ok(())
 }
 
-/// Refuses new requests, says so to the entries, and waits for those that run.
+/// Refuses new requests, informs the entries, and waits for the running requests to complete.
 async fn drain(agent: &Agent) {
     let upkeep = &agent.cfg.upkeep;
-    info!(target: PART, "{PART}: stopping; running requests go on");
+    info!(target: PART, "{PART}: stopping; draining running requests");
     agent.start_leaving();
     tokio::time::sleep(upkeep.stop_notice).await;
     if !agent.gate.wait_drained(None, upkeep.drain_timeout).await {
-        warn!(target: PART, "{PART}: requests outlasted the drain of {:?}", upkeep.drain_timeout);
+        warn!(target: PART, "{PART}: the drain timed out after {:?} with requests running", upkeep.drain_timeout);
     }
 }
 
@@ -107,10 +110,10 @@
         .map_err(|e| AgentError::Listen(addr, e, field))
 }
 
-/// An agent that has not been started; its questions to the entries go to `peers_requests`.
+/// Creates an agent without starting it; its queries to the entries are sent to `peers_requests`.
 ///
 /// # Errors
-/// `NoOrigin` where the settings name none.
+/// `NoOrigin` if the settings name no origin.
 pub fn new_agent(
     cfg: AgentCfg,
     peers_requests: mpsc::Sender<PeersRequest>,
@@ -118,7 +121,7 @@
     let upkeep = &cfg.upkeep;
     let platform = &upkeep.platform;
     let origin = platform.origin.ok_or(AgentError::NoOrigin)?;
-    // The clock of one VM tells a later agent from an earlier one; see docs/DESIGN.md.
+    // The clock of the VM orders the incarnations of its agents; see docs/DESIGN.md.
     let incarnation = unix_ms();
     Ok(Arc::new(Agent {
         incarnation,
@@ -155,10 +158,13 @@
     }))
 }
 
-fn start_links(agent: &Arc<Agent>, jobs: mpsc::Receiver<PeersRequest>) -> Result<(), AgentError> {
+fn start_links(
+    agent: &Arc<Agent>,
+    requests: mpsc::Receiver<PeersRequest>,
+) -> Result<(), AgentError> {
     let name = format!("links-{}", agent.cfg.listen.port());
     let agent = agent.clone();
-    wire::thread::spawn(name, move || links::maintain(agent, jobs))
+    wire::thread::spawn(name, move || links::maintain(agent, requests))
         .map(drop)
         .map_err(AgentError::Thread)
 }
--- a/crates/agent/src/swarm.rs
+++ b/crates/agent/src/swarm.rs
@@ -1,10 +1,10 @@
-//! Ranks where a chunk is to come from.
+//! Selection of the sources of chunks.
 //!
-//! There is no coordinator. For each chunk every agent finds alike whose turn it is: that one draws
-//! it from the origin, the others take it from each other. With one copy for the whole fleet the
-//! failure domains take turns too, and one agent of each other domain brings the chunk over. Where
-//! the one whose turn it is can't be counted on, a rendezvous hash chooses another. An agent that
-//! sees a chunk nowhere goes to the origin after a bounded wait.
+//! There is no coordinator. All agents assign each chunk to the same agent, by the same rule: that agent fetches it
+//! from the origin, and the others fetch it from each other. If the origin serves one copy to the whole fleet, chunks
+//! are assigned to the failure domains round-robin too, and one agent of each other domain fetches the chunk from
+//! another domain. If the assigned agent is leaving or excluded, a rendezvous hash selects another. An agent that
+//! finds a chunk at no peer fetches it from the origin after a bounded wait.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -15,7 +15,7 @@
 use rand::seq::IndexedRandom;
 use wire::Peer;
 
-/// Where a chunk is taken from.
+/// Source of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Source {
     /// The origin.
@@ -24,110 +24,114 @@
     Peer(SocketAddr),
 }
 
-/// Who this agent is and by which rule the origin is drawn from.
+/// Identity of this agent, and the policy by which it selects sources.
 #[derive(Debug, Clone)]
 pub struct SourcePolicy {
-    /// VM.
+    /// VM of this agent.
     pub vm: VmId,
-    /// Failure domain.
+    /// Failure domain of this agent.
     pub domain: DomainName,
     /// Failure domains in which the version is permitted.
     pub permitted: Vec<DomainName>,
-    /// Time after the version was first wanted in which nobody draws, so that all know all.
+    /// Time after the start of a fetch in which no agent fetches from the origin, while agents discover each other.
     pub settle_time: Duration,
-    /// One copy for each failure domain, not for the whole fleet.
+    /// Whether the origin serves one copy to each failure domain, instead of one to the whole fleet.
     pub copy_per_domain: bool,
-    /// Whether chunks of the own failure domain are taken from a few agents only, one at a time from
-    /// each, see [`sources`].
+    /// Whether chunks of the own failure domain are fetched only from the agents in [`sources`], one at a time from
+    /// each.
     pub limit_sources: bool,
-    /// Wait before a chunk that is nowhere is drawn by one that wasn't chosen.
+    /// Wait before an agent fetches a chunk that no peer holds, and that isn't assigned to it, from the origin.
     pub origin_wait: Duration,
-    /// Bad chunks after which a source is left alone.
+    /// Number of bad chunks after which a source is banned.
     pub max_bad_chunks: u64,
-    /// How long it is left alone.
+    /// Duration of a ban.
     pub ban_time: Duration,
 }
 
-/// A chunk to take now: where from, and how urgent it is.
+/// Source of a chunk that can be fetched now, and its urgency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
     /// Source.
     pub source: Source,
-    /// Order: chunks that only this agent brings in go first, then those that fewest hold.
+    /// Sort key: chunks that this agent fetches from the origin are first, then those from other failure domains, then
+    /// those of the own domain; within each, those that the fewest agents hold.
     pub urgency: (u8, usize),
 }
 
-/// What is known of other agents with a version.
+/// State of the other agents that fetch or hold a version.
 #[derive(Debug, Default)]
 pub struct Swarm {
-    duties: Mutex<Map<Digest, ChunkRole>>,
-    /// Whom chunks are taken from, where these are a few; worked out once for a list of agents.
-    few: Mutex<Option<Set<SocketAddr>>>,
+    roles: Mutex<Map<Digest, ChunkRole>>,
+    /// Sources in the own failure domain if they are limited; computed once for a list of agents.
+    near_sources: Mutex<Option<Set<SocketAddr>>>,
     active: Map<SocketAddr, u32>,
     peers: Vec<Peer>,
     have: Map<SocketAddr, Vec<bool>>,
-    bad: Map<SocketAddr, (u64, Instant)>,
-    silences: Map<SocketAddr, u64>,
-    /// Agents that are no longer counted on to draw or carry.
-    shunned: Set<SocketAddr>,
-    busy: Map<SocketAddr, Instant>,
+    bad_chunks: Map<SocketAddr, (u64, Instant)>,
+    failures: Map<SocketAddr, u64>,
+    /// Agents that no chunks are assigned to.
+    excluded: Set<SocketAddr>,
+    back_off_until: Map<SocketAddr, Instant>,
 }
 
-/// What falls to this agent for a chunk.
+/// Role of this agent for a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ChunkRole {
-    /// It draws the chunk from the origin.
-    draws: bool,
-    /// It carries the chunk into its failure domain.
-    carries: bool,
+    /// Whether it fetches the chunk from the origin.
+    fetches_from_origin: bool,
+    /// Whether it is assigned to fetch the chunk into its failure domain.
+    fetches_into_domain: bool,
 }
 
-/// Times an agent may give no answer before others take over what falls to it.
-const SILENCES: u64 = 2;
+/// Number of failed requests after which chunks assigned to an agent are assigned to others.
+const MAX_FAILURES: u64 = 2;
 
-/// How long an agent that gave no answer is not asked.
-const SILENT_TIME: Duration = Duration::from_secs(2);
+/// Back-off from an agent after a failed request.
+const UNRESPONSIVE_TIME: Duration = Duration::from_secs(2);
 
-/// How long an agent that was busy is not asked.
-const BUSY_TIME: Duration = Duration::from_millis(20);
+/// Back-off from an agent that was busy.
+const BUSY_BACK_OFF: Duration = Duration::from_millis(20);
 
-/// Time without a chunk from others after which all that hold one are asked, not only a few.
-const FEW_TIME: Duration = Duration::from_millis(250);
+/// Time without a chunk from peers after which all holders become sources, even if [`SourcePolicy::limit_sources`] is
+/// set.
+const MAX_LIMITED_STALL: Duration = Duration::from_millis(250);
 
-/// The few that an agent takes chunks from: of all in the order of their VMs, those 1, 2, 4, 8 ... places
-/// before it. Every agent is asked by as many others as it asks itself, so links up and down are filled
-/// alike and nobody has to be told to ask again; and a chunk is everywhere after as many steps as the
-/// number of agents has binary digits.
+/// Returns the agents that an agent fetches chunks from: of a ring of all agents sorted by VM, those at distances 1, 2,
+/// 4, 8 ... before it.
+///
+/// Each agent has as many receivers as sources. Uplinks and downlinks are therefore loaded equally, and no agent has to
+/// reject requests as busy. A chunk reaches all agents after as many steps as their number has binary digits.
 pub fn sources<'a>(own: &VmId, others: &[&'a Peer]) -> Vec<&'a Peer> {
-    at_steps(own, others, |n, step| n - step)
+    at_ring_offsets(own, others, |n, step| n - step)
 }
 
-/// The few that take chunks from an agent, see [`sources`].
+/// Returns the agents that fetch chunks from an agent, see [`sources`].
 pub fn receivers<'a>(own: &VmId, others: &[&'a Peer]) -> Vec<&'a Peer> {
-    at_steps(own, others, |_, step| step)
+    at_ring_offsets(own, others, |_, step| step)
 }
 
-/// Those of a ring of `n` that stand so many places after an agent as `ahead` makes of each power of two.
-fn at_steps<'a>(
+/// Returns the agents that follow an agent in the ring at the distances that `offset` maps the powers of two to. Its
+/// arguments are the size of the ring and a power of two.
+fn at_ring_offsets<'a>(
     own: &VmId,
     others: &[&'a Peer],
-    ahead: impl Fn(usize, usize) -> usize,
+    offset: impl Fn(usize, usize) -> usize,
 ) -> Vec<&'a Peer> {
     let mut sorted = others.to_vec();
     sorted.sort_by(|a, b| a.vm.cmp(&b.vm));
-    let place = sorted.partition_point(|p| p.vm < *own);
+    let index = sorted.partition_point(|p| p.vm < *own);
     let n = sorted.len() + 1;
     let steps = (0..usize::BITS).map(|bit| 1_usize << bit);
     let steps = steps.take_while(|step| *step < n);
-    // The agent itself is left out of the list, so those after it stand one place lower there.
-    let at = |step| (place + ahead(n, step)) % n;
+    // The list doesn't contain the agent itself: indices after it are lower by one.
+    let at = |step| (index + offset(n, step)) % n;
     steps
-        .map(|step| sorted[at(step) - usize::from(at(step) > place)])
+        .map(|step| sorted[at(step) - usize::from(at(step) > index)])
         .collect()
 }
 
 impl Swarm {
-    /// Takes the list of agents that fetch or hold the version; the own VM is left out.
+    /// Sets the list of agents that fetch or hold the version; the own VM is filtered out.
     pub fn set_peers(&mut self, own: &str, peers: Vec<Peer>) {
         let mut peers = peers;
         peers.retain(|p| p.vm != own);
@@ -135,94 +139,99 @@
             return;
         }
         self.peers = peers;
-        self.duties = Mutex::default();
-        self.few = Mutex::default();
+        self.roles = Mutex::default();
+        self.near_sources = Mutex::default();
         let known: Set<SocketAddr> = self.peers.iter().map(|p| p.addr).collect();
         self.have.retain(|addr, _| known.contains(addr));
     }
 
-    /// Agents known.
+    /// Returns the other agents that fetch or hold the version.
     pub fn peers(&self) -> &[Peer] {
         &self.peers
     }
 
-    /// Takes what an agent says it has.
+    /// Sets the chunks that an agent has reported to hold.
     pub fn set_have(&mut self, addr: SocketAddr, have: Vec<bool>) {
         self.have.insert(addr, have);
     }
 
-    /// Whether any agent is known to hold a chunk.
+    /// Returns whether any agent is known to hold a chunk.
     pub fn is_held(&self, i: usize) -> bool {
         self.have.values().any(|have| have.get(i) == Some(&true))
     }
 
-    /// Notes that an agent has not what it was asked for.
+    /// Records that an agent doesn't hold a chunk that it reported, and discards its chunk map.
     pub fn record_absent(&mut self, addr: SocketAddr) {
         self.have.remove(&addr);
     }
 
-    /// Notes that an agent gave no answer: what it has is forgotten, and it is left alone for a
-    /// while.
+    /// Records that an agent failed to respond: discards its chunk map and backs off from it for
+    /// [`UNRESPONSIVE_TIME`].
     pub fn record_unresponsive(&mut self, addr: SocketAddr) {
         self.have.remove(&addr);
-        self.busy.insert(addr, clock::now() + SILENT_TIME);
-        let silences = self.silences.entry(addr).or_default();
-        *silences += 1;
-        if *silences >= SILENCES {
-            self.shun(addr);
+        self.back_off_until
+            .insert(addr, clock::now() + UNRESPONSIVE_TIME);
+        let failures = self.failures.entry(addr).or_default();
+        *failures += 1;
+        if *failures >= MAX_FAILURES {
+            self.exclude(addr);
         }
     }
 
-    /// Whether an agent may be asked now.
+    /// Returns whether requests may be sent to an agent now.
     pub fn can_request(&self, addr: SocketAddr, policy: &SourcePolicy) -> bool {
         let now = clock::now();
-        let busy = self.busy.get(&addr).is_some_and(|until| *until > now);
-        !busy && !self.is_banned(addr, policy)
+        let backing_off = self
+            .back_off_until
+            .get(&addr)
+            .is_some_and(|until| *until > now);
+        !backing_off && !self.is_banned(addr, policy)
     }
 
-    /// Notes that an agent has too many to serve just now.
+    /// Records that an agent rejected a request because it serves its maximum number of chunks.
     pub fn record_busy(&mut self, addr: SocketAddr) {
-        self.busy.insert(addr, clock::now() + BUSY_TIME);
+        self.back_off_until
+            .insert(addr, clock::now() + BUSY_BACK_OFF);
     }
 
-    /// Notes a bad chunk from an agent.
+    /// Records a bad chunk from an agent.
     pub fn record_bad_chunk(&mut self, addr: SocketAddr, policy: &SourcePolicy) {
-        let bad = self.bad.entry(addr).or_insert((0, clock::now()));
-        *bad = (bad.0 + 1, clock::now());
-        if bad.0 >= policy.max_bad_chunks {
-            self.shun(addr);
+        let entry = self.bad_chunks.entry(addr).or_insert((0, clock::now()));
+        *entry = (entry.0 + 1, clock::now());
+        if entry.0 >= policy.max_bad_chunks {
+            self.exclude(addr);
         }
     }
 
-    /// Has others draw and carry what would have fallen to an agent.
-    fn shun(&mut self, addr: SocketAddr) {
-        if self.shunned.insert(addr) {
-            self.duties = Mutex::default();
-            self.few = Mutex::default();
+    /// Assigns the chunks of an agent to others.
+    fn exclude(&mut self, addr: SocketAddr) {
+        if self.excluded.insert(addr) {
+            self.roles = Mutex::default();
+            self.near_sources = Mutex::default();
         }
     }
 
-    /// Whether an agent is left alone for bad chunks.
+    /// Returns whether an agent is banned for bad chunks.
     pub fn is_banned(&self, addr: SocketAddr, policy: &SourcePolicy) -> bool {
-        self.bad.get(&addr).is_some_and(|(n, at)| {
+        self.bad_chunks.get(&addr).is_some_and(|(n, at)| {
             *n >= policy.max_bad_chunks && clock::since(*at) < policy.ban_time
         })
     }
 
-    /// Notes that a chunk is being taken from an agent.
+    /// Records the start of a chunk fetch from an agent.
     pub fn record_started(&mut self, addr: SocketAddr) {
         *self.active.entry(addr).or_default() += 1;
     }
 
-    /// Notes that it came, or did not.
+    /// Records the end of a chunk fetch from an agent, successful or not.
     pub fn record_completed(&mut self, addr: SocketAddr) {
         if let Some(n) = self.active.get_mut(&addr) {
             *n = n.saturating_sub(1);
         }
     }
 
-    /// Where to take a chunk from now; `None` where it is better to wait. `waited` is how long
-    /// the chunk has been wanted, `stalled` how long none has come from a peer.
+    /// Returns the source to fetch a chunk from now; `None` if it is better to wait. `waited` is the time since the start
+    /// of the fetch, `stalled` the time since the last chunk from a peer.
     pub fn choose(
         &self,
         i: usize,
@@ -234,15 +243,15 @@
         self.selector(policy, waited, stalled).choose(i, chunk)
     }
 
-    /// The same for many chunks at one moment: who may be asked is looked up once for all of them.
+    /// Returns a selector for many chunks at one time; it determines once which agents requests may be sent to.
     pub fn selector<'a>(
         &'a self,
         policy: &'a SourcePolicy,
         waited: Duration,
         stalled: Duration,
     ) -> SourceSelector<'a> {
-        let few = policy.limit_sources && stalled < FEW_TIME;
-        let sources = few.then(|| self.few(policy));
+        let is_limited = policy.limit_sources && stalled < MAX_LIMITED_STALL;
+        let sources = is_limited.then(|| self.near_sources(policy));
         let holder = |peer: &'a Peer| {
             let have = self.have.get(&peer.addr)?;
             let can_request = self.can_request(peer.addr, policy);
@@ -251,7 +260,7 @@
                 have,
                 is_source: sources
                     .as_ref()
-                    .is_none_or(|few| few.contains(&peer.addr) && self.is_idle(peer.addr)),
+                    .is_none_or(|sources| sources.contains(&peer.addr) && self.is_idle(peer.addr)),
             })
         };
         let (near, far): (Vec<&Peer>, Vec<&Peer>) =
@@ -266,70 +275,76 @@
         }
     }
 
-    /// What falls to this agent for a chunk; worked out once for a list of agents.
-    fn duty(&self, i: usize, chunk: &Digest, policy: &SourcePolicy) -> ChunkRole {
-        let mut duties = self.duties.lock().unwrap_or_else(PoisonError::into_inner);
-        *duties
+    /// Returns the role of this agent for a chunk; computed once for a list of agents.
+    fn role(&self, i: usize, chunk: &Digest, policy: &SourcePolicy) -> ChunkRole {
+        let mut roles = self.roles.lock().unwrap_or_else(PoisonError::into_inner);
+        *roles
             .entry(*chunk)
-            .or_insert_with(|| self.find_duty(i, chunk, policy))
+            .or_insert_with(|| self.compute_role(i, chunk, policy))
     }
 
-    fn find_duty(&self, i: usize, chunk: &Digest, policy: &SourcePolicy) -> ChunkRole {
-        let domains = self.domains(policy);
-        let carries = self.is_turn(i / domains.len().max(1), chunk, policy);
-        let home = domains.get(i % domains.len().max(1));
-        let draws = policy.copy_per_domain || home == Some(&&policy.domain);
+    fn compute_role(&self, i: usize, chunk: &Digest, policy: &SourcePolicy) -> ChunkRole {
+        let domains = self.eligible_domains(policy);
+        let fetches_into_domain = self.is_assigned(i / domains.len().max(1), chunk, policy);
+        let assigned_domain = domains.get(i % domains.len().max(1));
+        let is_origin_domain = policy.copy_per_domain || assigned_domain == Some(&&policy.domain);
         ChunkRole {
-            draws: carries && draws,
-            carries,
+            fetches_from_origin: fetches_into_domain && is_origin_domain,
+            fetches_into_domain,
         }
     }
 
-    /// The few that chunks are taken from.
-    fn few(&self, policy: &SourcePolicy) -> Set<SocketAddr> {
-        let mut few = self.few.lock().unwrap_or_else(PoisonError::into_inner);
-        few.get_or_insert_with(|| self.find_sources(policy)).clone()
+    /// Returns the sources in the own failure domain; computed once for a list of agents.
+    fn near_sources(&self, policy: &SourcePolicy) -> Set<SocketAddr> {
+        let mut near_sources = self
+            .near_sources
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        near_sources
+            .get_or_insert_with(|| self.compute_sources(policy))
+            .clone()
     }
 
     fn is_idle(&self, addr: SocketAddr) -> bool {
         self.active.get(&addr).is_none_or(|n| *n == 0)
     }
 
-    /// Whether a chunk that was chosen to come from an agent may still be asked for: another may have
-    /// been since.
+    /// Returns whether a chunk may be requested from the selected agent. Under limited sources it may not if a fetch of
+    /// another chunk from that agent has started since the selection.
     pub fn can_start(&self, addr: SocketAddr, policy: &SourcePolicy, stalled: Duration) -> bool {
-        !policy.limit_sources || stalled >= FEW_TIME || self.is_idle(addr)
+        !policy.limit_sources || stalled >= MAX_LIMITED_STALL || self.is_idle(addr)
     }
 
-    fn find_sources(&self, policy: &SourcePolicy) -> Set<SocketAddr> {
+    fn compute_sources(&self, policy: &SourcePolicy) -> Set<SocketAddr> {
         let sources = sources(&policy.vm, &self.near(policy));
         sources.into_iter().map(|p| p.addr).collect()
     }
 
-    /// The few that take chunks from this agent.
+    /// Returns the agents that fetch chunks from this agent.
     pub fn receivers(&self, policy: &SourcePolicy) -> Vec<&Peer> {
         receivers(&policy.vm, &self.near(policy))
     }
 
     fn near(&self, policy: &SourcePolicy) -> Vec<&Peer> {
-        let near = self.counted_on().filter(|p| p.domain == policy.domain);
+        let near = self.eligible().filter(|p| p.domain == policy.domain);
         near.collect()
     }
 
-    /// Permitted failure domains in which an agent can be counted on, in an order that all know.
-    fn domains<'a>(&self, policy: &'a SourcePolicy) -> Vec<&'a DomainName> {
-        let counts = |domain: &&DomainName| {
-            **domain == policy.domain || self.counted_on().any(|p| p.domain == **domain)
+    /// Returns the permitted failure domains that have an eligible agent, sorted, and therefore in the same order at all
+    /// agents.
+    fn eligible_domains<'a>(&self, policy: &'a SourcePolicy) -> Vec<&'a DomainName> {
+        let has_eligible_agent = |domain: &&DomainName| {
+            **domain == policy.domain || self.eligible().any(|p| p.domain == **domain)
         };
-        let mut domains: Vec<_> = policy.permitted.iter().filter(counts).collect();
+        let mut domains: Vec<_> = policy.permitted.iter().filter(has_eligible_agent).collect();
         domains.sort();
         domains
     }
 
-    /// Whether it is this agent's turn in its failure domain. Agents take turns in the order of
-    /// their VMs, so that each brings in as much as the others; where the one whose turn it is can't
-    /// be counted on, a rendezvous hash chooses among those that can.
-    fn is_turn(&self, turn: usize, chunk: &Digest, policy: &SourcePolicy) -> bool {
+    /// Returns whether a slot is assigned to this agent within its failure domain. Slots are assigned round-robin in the
+    /// order of VMs, which gives each agent the same number of chunks. If the assigned agent is not eligible, a
+    /// rendezvous hash selects one that is.
+    fn is_assigned(&self, slot: usize, chunk: &Digest, policy: &SourcePolicy) -> bool {
         let mut vms: Vec<&VmId> = self
             .peers
             .iter()
@@ -338,44 +353,44 @@
             .collect();
         vms.push(&policy.vm);
         vms.sort();
-        let first = vms[turn % vms.len()];
-        if *first == policy.vm {
+        let assigned = vms[slot % vms.len()];
+        if *assigned == policy.vm {
             return true;
         }
-        let mut near = self.counted_on().filter(|p| p.domain == policy.domain);
-        if near.any(|p| p.vm == *first) {
+        let mut near = self.eligible().filter(|p| p.domain == policy.domain);
+        if near.any(|p| p.vm == *assigned) {
             return false;
         }
         let own = rank(chunk.as_bytes(), &policy.vm);
-        let mut near = self.counted_on().filter(|p| p.domain == policy.domain);
+        let mut near = self.eligible().filter(|p| p.domain == policy.domain);
         near.all(|p| rank(chunk.as_bytes(), &p.vm) < own)
     }
 
-    /// Agents that may draw and carry.
-    fn counted_on(&self) -> impl Iterator<Item = &Peer> {
-        let counts = |p: &&Peer| !p.leaving && !self.shunned.contains(&p.addr);
-        self.peers.iter().filter(counts)
+    /// Returns the agents that chunks may be assigned to.
+    fn eligible(&self) -> impl Iterator<Item = &Peer> {
+        let is_eligible = |p: &&Peer| !p.leaving && !self.excluded.contains(&p.addr);
+        self.peers.iter().filter(is_eligible)
     }
 
-    /// One of those that fewest chunks are being taken from.
-    fn pick(&self, addrs: &[SocketAddr]) -> Option<SocketAddr> {
+    /// Returns a random one of the agents with the fewest active fetches.
+    fn pick_least_active(&self, addrs: &[SocketAddr]) -> Option<SocketAddr> {
         let active = |addr: &&SocketAddr| self.active.get(*addr).copied().unwrap_or(0);
-        let least = addrs.iter().map(|addr| active(&addr)).min()?;
-        let idle: Vec<&SocketAddr> = addrs.iter().filter(|a| active(a) == least).collect();
-        idle.choose(&mut rand::rng()).map(|addr| **addr)
+        let min = addrs.iter().map(|addr| active(&addr)).min()?;
+        let least_active: Vec<&SocketAddr> = addrs.iter().filter(|a| active(a) == min).collect();
+        least_active.choose(&mut rand::rng()).map(|addr| **addr)
     }
 }
 
-/// Another agent that may be asked now.
+/// Another agent that requests may be sent to now.
 #[derive(Debug)]
 struct Holder<'a> {
     addr: SocketAddr,
     have: &'a [bool],
-    /// Whether chunks are taken from it: one of the few, where these are few, and idle.
+    /// Whether chunks may be fetched from it. Under limited sources it must be one of them and idle.
     is_source: bool,
 }
 
-/// A choice for many chunks at one moment.
+/// Selects sources for many chunks at one time.
 #[derive(Debug)]
 pub struct SourceSelector<'a> {
     swarm: &'a Swarm,
@@ -387,14 +402,14 @@
 }
 
 impl SourceSelector<'_> {
-    /// Where to take a chunk from now; `None` where it is better to wait.
+    /// Returns the source to fetch a chunk from now; `None` if it is better to wait.
     pub fn choose(&self, i: usize, chunk: &Digest) -> Option<Choice> {
         let (swarm, policy, stalled) = (self.swarm, self.policy, self.stalled);
         let near: Vec<&Holder> = holders(&self.near, i).collect();
         if !near.is_empty() {
             let sources = near.iter().filter(|h| h.is_source).map(|h| h.addr);
             let sources: Vec<SocketAddr> = sources.collect();
-            return swarm.pick(&sources).map(|addr| Choice {
+            return swarm.pick_least_active(&sources).map(|addr| Choice {
                 source: Source::Peer(addr),
                 urgency: (2, near.len()),
             });
@@ -402,30 +417,33 @@
         if self.waited < policy.settle_time {
             return None;
         }
-        let ChunkRole { draws, carries } = swarm.duty(i, chunk, policy);
-        let first = |source| Choice {
+        let ChunkRole {
+            fetches_from_origin,
+            fetches_into_domain,
+        } = swarm.role(i, chunk, policy);
+        let from_origin = |source| Choice {
             source,
             urgency: (0, 0),
         };
-        if draws {
-            return Some(first(Source::Origin));
+        if fetches_from_origin {
+            return Some(from_origin(Source::Origin));
         }
-        // Where the chosen one is gone, the one that carries into a domain draws before others.
-        let patience = match carries {
+        // If the agent that fetches the chunk from the origin is gone, those assigned in their domains replace it before others.
+        let origin_wait = match fetches_into_domain {
             true => policy.origin_wait,
             false => policy.origin_wait * 2,
         };
-        let crosses = carries || stalled > policy.origin_wait / 2;
-        let far = match crosses {
+        let can_fetch_far = fetches_into_domain || stalled > policy.origin_wait / 2;
+        let far = match can_fetch_far {
             true => self.far_holders(i),
             false => Vec::new(),
         };
-        match swarm.pick(&far) {
+        match swarm.pick_least_active(&far) {
             Some(addr) => Some(Choice {
                 source: Source::Peer(addr),
                 urgency: (1, far.len()),
             }),
-            None => (stalled > patience).then_some(first(Source::Origin)),
+            None => (stalled > origin_wait).then_some(from_origin(Source::Origin)),
         }
     }
 
