--- a/crates/agent/src/chunk.rs
+++ b/crates/agent/src/chunk.rs
@@ -63,8 +63,8 @@
         Some(buf) => (buf, None),
         None => {
             let (buf, have) = download(agent, version, manifest, i, source).await?;
-            let put = agent.chunks().put(manifest.chunks[i], buf.clone());
-            put.map_err(ChunkError::Bad)?;
+            let stored = agent.chunks().put(manifest.chunks[i], buf.clone());
+            stored.map_err(ChunkError::Bad)?;
             (buf, have)
         }
     };
@@ -111,8 +111,8 @@
     }
 }
 
-fn record_bytes(chunk_counts: &AtomicU64, direction: &'static str, n: usize) {
-    chunk_counts.fetch_add(n as u64, Ordering::Relaxed);
+fn record_bytes(counter: &AtomicU64, direction: &'static str, n: usize) {
+    counter.fetch_add(n as u64, Ordering::Relaxed);
     metrics::counter!("driftnotch_chunk_bytes_total", "direction" => direction).increment(n as u64);
 }
 
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -1,8 +1,8 @@
-//! Links to the entries of the failure domain.
+//! Links to entries of the failure domain.
 //!
-//! An agent joins two entries, whatever their number; they tell the others of it. One task for
-//! each of them sends heartbeats at the interval the entry asks for and at once when something
-//! changes, and takes editions as soon as the entry has them.
+//! An agent joins two entries, however many there are; these announce it to the others. One task for each link sends
+//! heartbeats at the interval that the entry requests, and immediately when something changes, and receives
+//! revisions as soon as the entry has them.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,128 +23,130 @@
 /// Log prefix of this part.
 const PART: &str = "links";
 
-/// Entries an agent joins.
-const HOMES: usize = 2;
+/// Maximum number of entries that an agent joins.
+const MAX_LINKS: usize = 2;
 
-/// Time between two looks at which links are wanted.
-const REVIEW: Duration = Duration::from_millis(200);
+/// Interval between reviews of the links.
+const REVIEW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long an entry whose link failed is tried after the others.
-const AVOID: Duration = Duration::from_secs(3);
+/// Time for which an entry whose link failed is ranked below the others.
+const FAILED_LINK_PENALTY: Duration = Duration::from_secs(3);
 
-/// Pause after an edition that doesn't fit.
-const MISFIT_PAUSE: Duration = Duration::from_secs(5);
+/// Back-off after a revision that can't be applied.
+const INVALID_REVISION_BACK_OFF: Duration = Duration::from_secs(5);
 
-/// An entry that can't be linked to for this long is forgotten, unless the settings name it.
-const FORGET: Duration = Duration::from_secs(60);
+/// Time after which an unreachable entry is removed, unless the settings name it.
+const REMOVE_TIME: Duration = Duration::from_secs(60);
 
-type Live = Rc<RefCell<Map<SocketAddr, Rc<AgentSession>>>>;
-type Learnt = mpsc::UnboundedSender<Vec<SocketAddr>>;
+type Sessions = Rc<RefCell<Map<SocketAddr, Rc<AgentSession>>>>;
+type EntriesTx = mpsc::UnboundedSender<Vec<SocketAddr>>;
 
-/// Keeps links for as long as the process runs; call within a `LocalSet`.
-pub async fn maintain(agent: Arc<Agent>, mut jobs: mpsc::Receiver<PeersRequest>) {
-    let live = Live::default();
-    let mut homes = Homes::new(agent.clone(), live.clone());
-    let mut review = tokio::time::interval(REVIEW);
+/// Maintains links and sends queries for peers over them; never returns. Must be called within a `LocalSet`.
+pub async fn maintain(agent: Arc<Agent>, mut requests: mpsc::Receiver<PeersRequest>) {
+    let sessions = Sessions::default();
+    let mut links = EntryLinks::new(agent.clone(), sessions.clone());
+    let mut review = tokio::time::interval(REVIEW_INTERVAL);
     loop {
         tokio::select! {
-            _ = review.tick() => homes.review(),
-            Some(addrs) = homes.learnt.recv() => homes.learn(addrs),
-            Some(job) = jobs.recv() => {
-                let seat = live.borrow().values().cloned().choose(&mut rand::rng());
-                tokio::task::spawn_local(request_peers(seat, job));
+            _ = review.tick() => links.review(),
+            Some(addrs) = links.entries_rx.recv() => links.add_entries(addrs),
+            Some(request) = requests.recv() => {
+                let session = sessions.borrow().values().cloned().choose(&mut rand::rng());
+                tokio::task::spawn_local(request_peers(session, request));
             }
         }
     }
 }
 
-/// The entries an agent knows, and the few it keeps links to.
+/// Entries that an agent knows, and links to some of them.
 ///
-/// Those are the first by rendezvous hash among the entries that can be linked to, so agents
-/// spread evenly over entries, and only those of an entry that goes or comes move.
-struct Homes {
+/// Links are to the entries that rank first by rendezvous hash among the reachable ones. This distributes agents evenly
+/// over entries, and the addition or removal of an entry moves only its own agents.
+struct EntryLinks {
     agent: Arc<Agent>,
-    live: Live,
+    sessions: Sessions,
     known: Map<SocketAddr, Instant>,
     failed: Rc<RefCell<Map<SocketAddr, Instant>>>,
     tasks: Map<SocketAddr, JoinHandle<()>>,
-    learnt_tx: Learnt,
-    learnt: mpsc::UnboundedReceiver<Vec<SocketAddr>>,
+    entries_tx: EntriesTx,
+    entries_rx: mpsc::UnboundedReceiver<Vec<SocketAddr>>,
 }
 
-impl Homes {
-    fn new(agent: Arc<Agent>, live: Live) -> Homes {
-        let (learnt_tx, learnt) = mpsc::unbounded_channel();
+impl EntryLinks {
+    fn new(agent: Arc<Agent>, sessions: Sessions) -> EntryLinks {
+        let (entries_tx, entries_rx) = mpsc::unbounded_channel();
         let now = clock::now();
-        Homes {
+        EntryLinks {
             known: agent.cfg.entries.iter().map(|addr| (*addr, now)).collect(),
             agent,
-            live,
+            sessions,
             failed: Rc::default(),
             tasks: Map::default(),
-            learnt_tx,
-            learnt,
+            entries_tx,
+            entries_rx,
         }
     }
 
-    fn learn(&mut self, addrs: Vec<SocketAddr>) {
+    fn add_entries(&mut self, addrs: Vec<SocketAddr>) {
         let now = clock::now();
         self.known.extend(addrs.into_iter().map(|addr| (addr, now)));
         self.review();
     }
 
-    /// Starts links to the wanted entries, and ends others once the wanted ones are up.
+    /// Starts links to the wanted entries, and closes others once all wanted ones are established.
     fn review(&mut self) {
         let wanted = self.wanted();
-        let up = wanted
+        let linked = wanted
             .iter()
-            .filter(|a| self.live.borrow().contains_key(*a));
-        let all_up = up.count() == wanted.len();
+            .filter(|a| self.sessions.borrow().contains_key(*a));
+        let all_linked = linked.count() == wanted.len();
         self.tasks.retain(|addr, task| {
-            let keep = !task.is_finished() && (wanted.contains(addr) || !all_up);
+            let keep = !task.is_finished() && (wanted.contains(addr) || !all_linked);
             if !keep {
                 task.abort();
-                self.live.borrow_mut().remove(addr);
+                self.sessions.borrow_mut().remove(addr);
             }
             keep
         });
         for addr in wanted {
             self.tasks.entry(addr).or_insert_with(|| {
-                let (agent, live) = (self.agent.clone(), self.live.clone());
-                let (failed, learnt) = (self.failed.clone(), self.learnt_tx.clone());
+                let (agent, sessions) = (self.agent.clone(), self.sessions.clone());
+                let (failed, entries_tx) = (self.failed.clone(), self.entries_tx.clone());
                 tokio::task::spawn_local(async move {
-                    let linked = use_link(&agent, addr, &live, &learnt).await;
-                    live.borrow_mut().remove(&addr);
+                    let result = run_link(&agent, addr, &sessions, &entries_tx).await;
+                    sessions.borrow_mut().remove(&addr);
                     failed.borrow_mut().insert(addr, clock::now());
-                    if let Err(e) = linked {
-                        debug!(target: PART, "{PART}: link to entry {addr} ended: {e}");
+                    if let Err(e) = result {
+                        debug!(target: PART, "{PART}: link to entry {addr} failed: {e}");
                     }
                 })
             });
         }
     }
 
-    /// The first few by rendezvous hash, those that failed of late after the others.
+    /// Returns the entries that rank first by rendezvous hash, with those that failed recently ranked last.
     fn wanted(&mut self) -> Vec<SocketAddr> {
         let settings = &self.agent.cfg.entries;
         let failed = self.failed.borrow();
-        self.known.retain(|addr, heard| {
-            let failing = failed.get(addr).is_some_and(|at| at > heard);
-            settings.contains(addr) || !failing || clock::since(*heard) < FORGET
+        self.known.retain(|addr, last_seen| {
+            let failing = failed.get(addr).is_some_and(|at| at > last_seen);
+            settings.contains(addr) || !failing || clock::since(*last_seen) < REMOVE_TIME
         });
         let vm = &self.agent.cfg.upkeep.vm;
         let mut ranked: Vec<(bool, Digest, SocketAddr)> = self
             .known
             .keys()
             .map(|addr| {
-                let failing = failed.get(addr).is_some_and(|at| clock::since(*at) < AVOID);
-                let up = self.live.borrow().contains_key(addr);
-                (failing && !up, rank(vm, addr), *addr)
+                let failing = failed
+                    .get(addr)
+                    .is_some_and(|at| clock::since(*at) < FAILED_LINK_PENALTY);
+                let linked = self.sessions.borrow().contains_key(addr);
+                (failing && !linked, rank(vm, addr), *addr)
             })
             .collect();
         ranked.sort_unstable();
         let best = ranked.into_iter().map(|(_, _, addr)| addr);
-        best.take(HOMES).collect()
+        best.take(MAX_LINKS).collect()
     }
 }
 
@@ -152,46 +154,46 @@
     rendezvous::rank(format!("{vm} ").as_bytes(), &addr.to_string())
 }
 
-async fn request_peers(seat: Option<Rc<AgentSession>>, job: PeersRequest) {
-    let Some(seat) = seat else {
+async fn request_peers(session: Option<Rc<AgentSession>>, request: PeersRequest) {
+    let Some(session) = session else {
         return;
     };
-    if let Ok(peers) = seat.peers(&job.version).await {
-        let _ = job.tx.send(peers);
+    if let Ok(peers) = session.peers(&request.version).await {
+        let _ = request.tx.send(peers);
     }
 }
 
-/// Uses a link until it breaks.
-async fn use_link(
+/// Connects to an entry and runs the link until it fails.
+async fn run_link(
     agent: &Arc<Agent>,
     addr: SocketAddr,
-    live: &Live,
-    learnt: &Learnt,
+    sessions: &Sessions,
+    entries_tx: &EntriesTx,
 ) -> Result<(), WireError> {
     let link = Link::connect(addr, agent.cfg.upkeep.source, &agent.traffic).await?;
-    let seat = Rc::new(link.join(&info_of(agent)).await?);
+    let session = Rc::new(link.join(&agent_info(agent)).await?);
     info!(target: PART, "{PART}: joined entry {addr}");
-    live.borrow_mut().insert(addr, seat.clone());
-    let watcher = watch(agent, &seat);
+    sessions.borrow_mut().insert(addr, session.clone());
+    let watcher = watch(agent, &session);
     tokio::pin!(watcher);
     let mut holdings = agent.holdings.subscribe();
     let mut leaving = agent.watch_leaving();
-    let mut seen = 0;
-    let mut told = None;
+    let mut entries_seen = 0;
+    let mut last_sent = None;
     loop {
-        let reply = beat(agent, &seat, seen, &mut told).await?;
+        let reply = send_heartbeat(agent, &session, entries_seen, &mut last_sent).await?;
         let view = agent.active_table.current();
         if reply.freshness.revision < view.edition.revision {
-            // The entry may have restarted: an edition lasts as long as any process has it.
-            seat.offer(&view.edition).await?;
+            // The entry may have restarted. A revision survives as long as any process has it.
+            session.offer(&view.edition).await?;
         }
-        if reply.entries_seen != seen {
-            let _ = learnt.send(reply.entries.clone());
-            seen = reply.entries_seen;
+        if reply.entries_seen != entries_seen {
+            let _ = entries_tx.send(reply.entries.clone());
+            entries_seen = reply.entries_seen;
         }
         let next = tokio::time::sleep(reply.interval);
         tokio::select! {
-            ended = &mut watcher => return ended,
+            result = &mut watcher => return result,
             _ = next => {}
             Ok(()) = holdings.changed() => {}
             Ok(()) = leaving.changed() => {}
@@ -199,18 +201,18 @@
     }
 }
 
-/// Sends a heartbeat, with the versions if they are not those that were `told` last.
-async fn beat(
+/// Sends a heartbeat. It contains the holdings only if they differ from `last_sent`.
+async fn send_heartbeat(
     agent: &Agent,
-    seat: &AgentSession,
+    session: &AgentSession,
     entries_seen: u64,
-    told: &mut Option<Vec<Holding>>,
+    last_sent: &mut Option<Vec<Holding>>,
 ) -> Result<HeartbeatReply, WireError> {
-    let asked = clock::now();
+    let sent_at = clock::now();
     let holdings = agent.holdings.borrow().clone();
-    let same_holdings = told.as_ref() == Some(&holdings);
-    *told = Some(holdings.clone());
-    let beat = Heartbeat {
+    let same_holdings = last_sent.as_ref() == Some(&holdings);
+    *last_sent = Some(holdings.clone());
+    let heartbeat = Heartbeat {
         revision: agent.active_table.revision(),
         running: agent.gate.running(),
         leaving: agent.is_leaving(),
@@ -218,9 +220,9 @@
         entries_seen,
         same_holdings,
     };
-    let reply = seat.heartbeat(&beat).await?;
+    let reply = session.heartbeat(&heartbeat).await?;
     let age = reply.freshness.age;
-    if let Some(confirmed) = asked
+    if let Some(confirmed) = sent_at
         .checked_sub(age)
         .filter(|_| age < wire::NEVER_CONFIRMED)
     {
@@ -235,39 +237,39 @@
     Ok(reply)
 }
 
-async fn watch(agent: &Agent, seat: &AgentSession) -> Result<(), WireError> {
+async fn watch(agent: &Agent, session: &AgentSession) -> Result<(), WireError> {
     loop {
-        let patch = seat.watch(agent.active_table.revision()).await?;
-        if follow(agent, patch).await == Followed::NotFrom {
-            let whole = seat.watch(0).await?;
-            follow(agent, whole).await;
+        let patch = session.watch(agent.active_table.revision()).await?;
+        if apply(agent, patch).await == PatchOutcome::UnknownBase {
+            let full = session.watch(0).await?;
+            apply(agent, full).await;
         }
     }
 }
 
-/// Whether an edition could be followed.
+/// Outcome of a patch; `Handled` includes a patch that was rejected as faulty.
 #[derive(Debug, PartialEq, Eq)]
-enum Followed {
-    Yes,
-    NotFrom,
+enum PatchOutcome {
+    Handled,
+    UnknownBase,
 }
 
-async fn follow(agent: &Agent, patch: Patch) -> Followed {
+async fn apply(agent: &Agent, patch: Patch) -> PatchOutcome {
     let revision = patch.revision;
     match agent.active_table.apply_patch(patch) {
         Ok(true) => info!(target: PART, "{PART}: revision {revision} is in force"),
         Ok(false) => {}
-        Err(PatchError::UnknownBase) => return Followed::NotFrom,
+        Err(PatchError::UnknownBase) => return PatchOutcome::UnknownBase,
         Err(PatchError::Faults(faults)) => {
             let first = faults.first().map(ToString::to_string).unwrap_or_default();
-            warn!(target: PART, "{PART}: revision {revision} doesn't fit ({first}); give all VMs the same domains");
-            tokio::time::sleep(MISFIT_PAUSE).await;
+            warn!(target: PART, "{PART}: revision {revision} can't be applied ({first}); give all VMs the same domains");
+            tokio::time::sleep(INVALID_REVISION_BACK_OFF).await;
         }
     }
-    Followed::Yes
+    PatchOutcome::Handled
 }
 
-fn info_of(agent: &Agent) -> AgentInfo {
+fn agent_info(agent: &Agent) -> AgentInfo {
     AgentInfo {
         vm: agent.cfg.upkeep.vm.clone(),
         domain: agent.cfg.upkeep.domain.clone(),
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -85,8 +85,8 @@
 fn chunk_map(agent: &Agent, version: Digest) -> Option<Vec<u8>> {
     let manifest = agent.manifests().get(&version).cloned()?;
     let chunks = agent.chunks();
-    let stored_chunk = |c| if chunks.contains(c) { HELD } else { NOT_HELD };
-    Some(manifest.chunks.iter().map(stored_chunk).collect())
+    let flag = |c| if chunks.contains(c) { HELD } else { NOT_HELD };
+    Some(manifest.chunks.iter().map(flag).collect())
 }
 
 /// Encodes a chunk map for a header, four chunks to a hex digit.
--- a/crates/agent/tests/ledger.rs
+++ b/crates/agent/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger of unsafe requests against an oracle: an id starts at most once, and what was said
-//! not to have run never starts.
+//! Compares the ledger of unsafe requests with a model: an id starts at most once, and an id that was reported as
+//! sealed never starts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-const MEMORY: usize = 100;
-const IDS: usize = 6;
+const MAX_BYTES: usize = 100;
+const MAX_IDS: usize = 6;
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -23,8 +23,8 @@
     Refuse(u8),
 }
 
-/// The steps are all there is to choose; what truly happened follows from what the ledger let
-/// start, and is kept beside it.
+/// Generator of steps. It has no state: the actual states depend on which ids the ledger starts, and are recorded with
+/// the system under test.
 #[derive(Debug, Clone, Default)]
 struct Steps;
 
@@ -53,9 +53,9 @@
     }
 }
 
-/// What truly happened to an id that was let start.
+/// Actual state of an id that the ledger has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Truth {
+enum ActualState {
     Running,
     Ran,
     NeverRan,
@@ -63,15 +63,15 @@
 
 struct Sut {
     ledger: Ledger,
-    truths: BTreeMap<u8, Truth>,
+    actual_states: BTreeMap<u8, ActualState>,
     starts: BTreeMap<u8, u32>,
-    told_sealed: BTreeSet<u8>,
+    reported_sealed: BTreeSet<u8>,
 }
 
 struct LedgerTest;
 
-/// Ids are made in no order: their times are their numbers.
-fn name(id: u8) -> String {
+/// Returns the id with a creation time equal to its number. Ids therefore reach the ledger in any order of creation.
+fn request_id(id: u8) -> String {
     format!("{id:012x}{:020x}", 7)
 }
 
@@ -84,26 +84,29 @@
 }
 
 impl Sut {
-    fn end(&mut self, id: u8, truth: Truth, end: impl Fn(&Ledger, &str)) {
-        if self.truths.get(&id) == Some(&Truth::Running) {
-            self.truths.insert(id, truth);
-            end(&self.ledger, &name(id));
+    fn complete(&mut self, id: u8, actual: ActualState, complete: impl Fn(&Ledger, &str)) {
+        if self.actual_states.get(&id) == Some(&ActualState::Running) {
+            self.actual_states.insert(id, actual);
+            complete(&self.ledger, &request_id(id));
         }
     }
 
     fn settle(&mut self, id: u8) {
-        let (said, answer) = self.ledger.settle(&name(id));
-        let truth = self.truths.get(&id);
-        let truthful = match said {
-            Settled::Sealed => matches!(truth, None | Some(Truth::NeverRan)),
-            Settled::Running => truth == Some(&Truth::Running),
-            Settled::Done => truth == Some(&Truth::Ran) && answer.is_some(),
-            // Gone claims nothing.
+        let (reported, response) = self.ledger.settle(&request_id(id));
+        let actual = self.actual_states.get(&id);
+        let is_consistent = match reported {
+            Settled::Sealed => matches!(actual, None | Some(ActualState::NeverRan)),
+            Settled::Running => actual == Some(&ActualState::Running),
+            Settled::Done => actual == Some(&ActualState::Ran) && response.is_some(),
+            // `Gone` is consistent with any state.
             Settled::Gone => true,
         };
-        assert!(truthful, "said {said} of {id}, which is {truth:?}");
-        if said == Settled::Sealed {
-            self.told_sealed.insert(id);
+        assert!(
+            is_consistent,
+            "id {id} is reported as {reported}, but is {actual:?}"
+        );
+        if reported == Settled::Sealed {
+            self.reported_sealed.insert(id);
         }
     }
 }
@@ -114,32 +117,37 @@
 
     fn init_test(_: &Steps) -> Sut {
         Sut {
-            ledger: Ledger::with_max_ids(MEMORY, Duration::from_secs(3600), IDS),
-            truths: BTreeMap::new(),
+            ledger: Ledger::with_max_ids(MAX_BYTES, Duration::from_secs(3600), MAX_IDS),
+            actual_states: BTreeMap::new(),
             starts: BTreeMap::new(),
-            told_sealed: BTreeSet::new(),
+            reported_sealed: BTreeSet::new(),
         }
     }
 
     fn apply(mut sut: Sut, _: &Steps, step: Step) -> Sut {
         match step {
-            Step::Begin(id) if sut.ledger.begin(&name(id)) => {
-                assert!(!sut.told_sealed.contains(&id), "{id} was said never to run");
-                sut.truths.insert(id, Truth::Running);
+            Step::Begin(id) if sut.ledger.begin(&request_id(id)) => {
+                assert!(
+                    !sut.reported_sealed.contains(&id),
+                    "id {id} was reported as sealed"
+                );
+                sut.actual_states.insert(id, ActualState::Running);
                 *sut.starts.entry(id).or_default() += 1;
             }
             Step::Begin(_) => {}
             Step::Settle(id) => sut.settle(id),
-            Step::Finish(id, n) => sut.end(id, Truth::Ran, |l, id| l.finish(id, Some(recorded(n)))),
-            Step::Lose(id) => sut.end(id, Truth::Ran, |l, id| l.finish(id, None)),
-            Step::Refuse(id) => sut.end(id, Truth::NeverRan, Ledger::seal),
+            Step::Finish(id, n) => sut.complete(id, ActualState::Ran, |l, id| {
+                l.finish(id, Some(recorded(n)))
+            }),
+            Step::Lose(id) => sut.complete(id, ActualState::Ran, |l, id| l.finish(id, None)),
+            Step::Refuse(id) => sut.complete(id, ActualState::NeverRan, Ledger::seal),
         }
         sut
     }
 
     fn check_invariants(sut: &Sut, _: &Steps) {
         assert!(sut.starts.values().all(|n| *n == 1), "{:?}", sut.starts);
-        assert!(sut.ledger.stored_bytes() <= MEMORY);
+        assert!(sut.ledger.stored_bytes() <= MAX_BYTES);
     }
 }
 
@@ -147,34 +155,34 @@
     #![proptest_config(cases::cases(500))]
 
     #[test]
-    fn an_id_starts_once_and_its_state_is_told_truthfully(sequential 1..60 => LedgerTest);
+    fn starts_an_id_once_and_reports_its_actual_state(sequential 1..60 => LedgerTest);
 }
 
 #[test]
-fn a_sealed_id_never_starts() {
-    let ledger = Ledger::new(MEMORY, Duration::from_secs(60));
+fn does_not_start_a_sealed_id() {
+    let ledger = Ledger::new(MAX_BYTES, Duration::from_secs(60));
     assert_eq!(ledger.settle("a").0, Settled::Sealed);
     assert!(!ledger.begin("a"));
 }
 
 #[test]
-fn once_ids_had_to_be_forgotten_an_unknown_one_is_not_said_not_to_have_run() {
-    let ledger = Ledger::with_max_ids(MEMORY, Duration::from_secs(60), 2);
-    assert!(ledger.begin(&name(1)));
-    ledger.finish(&name(1), None);
-    assert!(ledger.begin(&name(2)) && ledger.begin(&name(3)));
-    assert_eq!(ledger.settle(&name(1)).0, Settled::Gone);
-    assert!(!ledger.begin(&name(1)), "nor does it start again");
+fn does_not_report_an_evicted_id_as_not_run() {
+    let ledger = Ledger::with_max_ids(MAX_BYTES, Duration::from_secs(60), 2);
+    assert!(ledger.begin(&request_id(1)));
+    ledger.finish(&request_id(1), None);
+    assert!(ledger.begin(&request_id(2)) && ledger.begin(&request_id(3)));
+    assert_eq!(ledger.settle(&request_id(1)).0, Settled::Gone);
+    assert!(!ledger.begin(&request_id(1)), "an evicted id started again");
     assert_eq!(
-        ledger.settle(&name(4)).0,
+        ledger.settle(&request_id(4)).0,
         Settled::Sealed,
-        "a later id was never here"
+        "a newer id can't have been evicted"
     );
 }
 
 #[test]
-fn an_answer_past_its_retention_is_gone() {
-    let ledger = Ledger::new(MEMORY, Duration::ZERO);
+fn evicts_responses_after_the_retention_time() {
+    let ledger = Ledger::new(MAX_BYTES, Duration::ZERO);
     assert!(ledger.begin("a"));
     ledger.finish("a", Some(recorded(10)));
     assert_eq!(ledger.settle("a").0, Settled::Gone);
