--- a/crates/agent/src/bring.rs
+++ b/crates/agent/src/chunk.rs
@@ -1,4 +1,4 @@
-//! Brings one chunk, a map of what a peer has, or a manifest, from where it is.
+//! Fetches single chunks, chunk maps and manifests from peers, the origin and the object store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,53 +18,53 @@
 use weights::{Manifest, StoreError};
 use wire::Peer;
 
-use crate::peer::read_short_map;
+use crate::peer::decode_chunk_map;
 use crate::swarm::Source;
-use crate::{Agent, PeersJob};
+use crate::{Agent, PeersRequest};
 
 /// Log prefix of this part.
 const PART: &str = "bring";
 
-/// Longest wait for what a peer has; one that is silent must not hold up the others.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout for a chunk map of a peer. It is short, since an unresponsive peer must not delay the polling of others.
+const CHUNK_MAP_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Pause before a manifest that nobody has is looked for again.
-const MANIFEST_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between attempts to find a manifest.
+const MANIFEST_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Largest manifest, in bytes.
-const MAX_MANIFEST: usize = 80 << 20;
+/// Maximum size of a manifest, in bytes.
+const MAX_MANIFEST_BYTES: usize = 80 << 20;
 
-/// Why a chunk did not come.
+/// Why a chunk could not be fetched or staged.
 #[derive(Debug, Display)]
 pub enum ChunkError {
-    /// the source was not reached or broke off ({0})
+    /// the source is unreachable or the transfer was interrupted ({0})
     Source(String),
     /// the source is busy
     Busy,
-    /// the source has it not
+    /// the source doesn't hold the chunk
     Absent,
     /// {0}
     Bad(StoreError),
-    /// the engine did not take the chunk ({0})
+    /// the engine did not accept the chunk ({0})
     Engine(crate::engine::EngineError),
 }
 
-/// Takes one chunk from its source, checks and keeps it, and stages it at the engine. Gives back
-/// what the source says it has, where it says so.
-pub async fn bring(
+/// Fetches one chunk from its source, verifies and stores it, and stages it at the engine. A chunk that is already
+/// stored is only staged. Returns the chunk map of the source if the response has one.
+pub async fn fetch_chunk(
     agent: &Agent,
     version: Digest,
     manifest: &Manifest,
     i: usize,
-    held: Option<Bytes>,
+    stored: Option<Bytes>,
     source: Source,
 ) -> Result<Option<Vec<bool>>, ChunkError> {
-    let (buf, have) = match held {
+    let (buf, have) = match stored {
         Some(buf) => (buf, None),
         None => {
-            let (buf, have) = take(agent, version, manifest, i, source).await?;
-            let kept = agent.chunks().put(manifest.chunks[i], buf.clone());
-            kept.map_err(ChunkError::Bad)?;
+            let (buf, have) = download(agent, version, manifest, i, source).await?;
+            let stored = agent.chunks().put(manifest.chunks[i], buf.clone());
+            stored.map_err(ChunkError::Bad)?;
             (buf, have)
         }
     };
@@ -72,7 +72,7 @@
     staged.map(|()| have).map_err(ChunkError::Engine)
 }
 
-async fn take(
+async fn download(
     agent: &Agent,
     version: Digest,
     manifest: &Manifest,
@@ -80,7 +80,10 @@
     source: Source,
 ) -> Result<(Bytes, Option<Vec<bool>>), ChunkError> {
     let (first, end) = manifest.range(i);
-    agent.down.weights((end - first) as usize).await;
+    agent
+        .download_pacer
+        .wait_for_weights((end - first) as usize)
+        .await;
     match source {
         Source::Origin => {
             let buf = agent
@@ -88,7 +91,7 @@
                 .range(version, first, end)
                 .await
                 .map_err(|e| ChunkError::Source(e.to_string()))?;
-            count(&agent.drawn.origin, "origin", buf.len());
+            record_bytes(&agent.chunk_counts.origin, "origin", buf.len());
             Ok((buf, None))
         }
         Source::Peer(addr) => {
@@ -101,16 +104,16 @@
                 agent.cfg.chunk_timeout,
             )
             .await?;
-            count(&agent.drawn.peers, "peer", buf.len());
-            let have = web::header(&headers, header::HAVE).map(read_short_map);
+            record_bytes(&agent.chunk_counts.peers, "peer", buf.len());
+            let have = web::header(&headers, header::HAVE).map(decode_chunk_map);
             Ok((buf, have))
         }
     }
 }
 
-fn count(drawn: &AtomicU64, from: &'static str, n: usize) {
-    drawn.fetch_add(n as u64, Ordering::Relaxed);
-    metrics::counter!("driftnotch_chunk_bytes_total", "direction" => from).increment(n as u64);
+fn record_bytes(counter: &AtomicU64, direction: &'static str, n: usize) {
+    counter.fetch_add(n as u64, Ordering::Relaxed);
+    metrics::counter!("driftnotch_chunk_bytes_total", "direction" => direction).increment(n as u64);
 }
 
 async fn get(
@@ -118,7 +121,7 @@
     addr: SocketAddr,
     path: &str,
     limit: usize,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<(Bytes, HeaderMap), ChunkError> {
     let req = hyper::Request::builder()
         .uri(path)
@@ -127,48 +130,56 @@
         .map_err(|e| ChunkError::Source(e.to_string()))?;
     let res = agent
         .client
-        .send(addr, req, within)
+        .send(addr, req, timeout)
         .await
         .map_err(|e| ChunkError::Source(e.to_string()))?;
     let (head, body) = res.into_parts();
     match head.status.as_u16() {
-        200 => read_body(body, limit, within)
+        200 => read_body(body, limit, timeout)
             .await
             .map(|buf| (buf, head.headers))
             .map_err(|e| ChunkError::Source(e.to_string())),
         404 => Err(ChunkError::Absent),
         429 => Err(ChunkError::Busy),
-        status => Err(ChunkError::Source(format!("it answered {status}"))),
+        status => Err(ChunkError::Source(format!("status {status}"))),
     }
 }
 
-/// Which chunks a peer says it has; none of a version it doesn't know. `None` where it doesn't
-/// answer soon.
-pub async fn have(agent: &Agent, addr: SocketAddr, version: Digest) -> Option<Vec<bool>> {
+/// Returns the chunk map of a peer; an empty one if it doesn't know the version, `None` if it fails to respond within
+/// [`CHUNK_MAP_TIMEOUT`].
+pub async fn fetch_chunk_map(
+    agent: &Agent,
+    addr: SocketAddr,
+    version: Digest,
+) -> Option<Vec<bool>> {
     let path = format!("/have/{version}");
     let limit = weights::manifest::MAX_CHUNKS;
-    match get(agent, addr, &path, limit, LOOK_TIMEOUT).await {
+    match get(agent, addr, &path, limit, CHUNK_MAP_TIMEOUT).await {
         Ok((buf, _)) => Some(buf.iter().map(|b| *b == crate::peer::HELD).collect()),
         Err(ChunkError::Absent) => Some(Vec::new()),
         Err(_) => None,
     }
 }
 
-/// Agents that fetch or hold a version, by an entry; `None` where none can be asked.
-pub async fn ask_peers(agent: &Agent, version: Version) -> Option<Vec<Peer>> {
+/// Returns the agents that fetch or hold a version, as listed by an entry; `None` if no entry is reachable.
+pub async fn request_peers(agent: &Agent, version: Version) -> Option<Vec<Peer>> {
     let (tx, rx) = oneshot::channel();
-    agent.peers.send(PeersJob { version, tx }).await.ok()?;
+    agent
+        .peers_requests
+        .send(PeersRequest { version, tx })
+        .await
+        .ok()?;
     rx.await.ok()
 }
 
-/// The manifest of a version, from a peer or the object store, for as long as it takes.
+/// Returns the manifest of a version, from a peer or the object store. Retries until it is found.
 pub async fn find_manifest(agent: &Agent, version: Digest) -> Arc<Manifest> {
     let mut warned = false;
     loop {
         if let Some(manifest) = agent.manifests().get(&version) {
             return manifest.clone();
         }
-        if let Some(manifest) = manifest_of_peers(agent, version).await {
+        if let Some(manifest) = fetch_manifest_from_peer(agent, version).await {
             return Arc::new(manifest);
         }
         match agent.objects.manifest(version).await {
@@ -181,12 +192,12 @@
             Err(e @ PlatformError::InvalidResponse(_)) => warn!(target: PART, "{PART}: {e}"),
             Ok(None) | Err(_) => {}
         }
-        tokio::time::sleep(MANIFEST_PAUSE).await;
+        tokio::time::sleep(MANIFEST_RETRY_INTERVAL).await;
     }
 }
 
-async fn manifest_of_peers(agent: &Agent, version: Digest) -> Option<Manifest> {
-    let peers = ask_peers(agent, Version::Weights(version)).await?;
+async fn fetch_manifest_from_peer(agent: &Agent, version: Digest) -> Option<Manifest> {
+    let peers = request_peers(agent, Version::Weights(version)).await?;
     let own = &agent.cfg.upkeep.vm;
     let others: Vec<Peer> = peers.into_iter().filter(|p| p.vm != *own).collect();
     let peer = others.choose(&mut rand::rng())?;
@@ -195,7 +206,7 @@
         agent,
         peer.addr,
         &path,
-        MAX_MANIFEST,
+        MAX_MANIFEST_BYTES,
         agent.cfg.chunk_timeout,
     )
     .await
