--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -29,20 +29,28 @@
     pub body: Bytes,
 }
 
+/// State of an id.
 #[derive(Debug)]
 enum State {
+    /// It has not run and never will.
     Sealed,
+    /// It has started, and has not completed.
     Running,
+    /// It has run, with its response and the time of completion.
     Done(RecordedResponse, Instant),
+    /// It has run; its response was lost, too large or evicted.
     Gone,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     ids: Map<RequestId, State>,
+    /// Ids in the order of insertion.
     ids_by_age: VecDeque<RequestId>,
+    /// Ids with a stored response, in the order of completion.
     responses_by_age: VecDeque<RequestId>,
     bytes: usize,
+    /// Latest creation time of all evicted ids.
     evicted_until: Option<u64>,
 }
 
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -231,7 +231,7 @@
             .confirm(reply.freshness.revision, confirmed);
     }
     if reply.leaving && !agent.is_leaving() {
-        info!(target: PART, "{PART}: the platform lists this VM as leaving; no new requests are taken");
+        info!(target: PART, "{PART}: the platform lists this VM as leaving; no new requests are admitted");
         agent.start_leaving();
     }
     Ok(reply)
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -23,7 +23,7 @@
 pub const NOT_HELD: u8 = b'0';
 
 /// Maximum number of chunks whose map is sent in a header.
-const MAX_HEADER_MAP: usize = 16 << 10;
+const MAX_HEADER_MAP_CHUNKS: usize = 16 << 10;
 
 /// Handles a request of another agent.
 pub async fn handle(agent: Arc<Agent>, upload_slots: Arc<Semaphore>, req: Request) -> Response {
@@ -123,7 +123,7 @@
                 .increment(buf.len() as u64);
             let mut res = web::text(200, "");
             web::set_header(res.headers_mut(), "content-length", &buf.len().to_string());
-            let map = chunk_map(agent, version).filter(|map| map.len() <= MAX_HEADER_MAP);
+            let map = chunk_map(agent, version).filter(|map| map.len() <= MAX_HEADER_MAP_CHUNKS);
             if let Some(map) = map {
                 web::set_header(res.headers_mut(), header::HAVE, &encode_chunk_map(&map));
             }
--- a/crates/agent/src/rollout.rs
+++ b/crates/agent/src/rollout.rs
@@ -71,7 +71,7 @@
 
 impl Rollout {
     async fn reconcile(&mut self) {
-        let wanted = wanted(&self.agent);
+        let wanted = wanted_versions(&self.agent);
         match self.agent.cfg.is_engine() {
             true => self.reconcile_engine(&wanted).await,
             false => self.reconcile_service(&wanted).await,
@@ -80,9 +80,9 @@
 
     /// A plain service has no weights; its rows are live while the upstream accepts connections.
     async fn reconcile_service(&mut self, wanted: &[WantedVersion]) {
-        let up = tokio::net::TcpStream::connect(self.agent.cfg.upstream);
-        let up = tokio::time::timeout(self.agent.cfg.engine_timeout, up).await;
-        let live = match up {
+        let connected = tokio::net::TcpStream::connect(self.agent.cfg.upstream);
+        let connected = tokio::time::timeout(self.agent.cfg.engine_timeout, connected).await;
+        let live = match connected {
             Ok(Ok(_)) => wanted.iter().map(|w| w.version.clone()).collect(),
             _ => Set::default(),
         };
@@ -117,8 +117,8 @@
     }
 
     fn apply_state(&mut self, state: EngineState) {
-        let before = self.state.as_ref().map(|s| s.incarnation);
-        if before.is_some_and(|before| before != state.incarnation) {
+        let previous = self.state.as_ref().map(|s| s.incarnation);
+        if previous.is_some_and(|previous| previous != state.incarnation) {
             warn!(target: PART, "{PART}: the engine restarted");
             self.transfers.drain().for_each(|(_, t)| t.task.abort());
         }
@@ -209,6 +209,7 @@
         });
     }
 
+    /// Returns the progress of a version, in permille.
     fn permille(&self, version: &Version, live: bool) -> u16 {
         let transfer = version.digest().and_then(|d| self.transfers.get(&d));
         match transfer {
@@ -220,7 +221,7 @@
 }
 
 /// Returns the versions that this VM has to run by the table in force.
-fn wanted(agent: &Agent) -> Vec<WantedVersion> {
+fn wanted_versions(agent: &Agent) -> Vec<WantedVersion> {
     let cfg = &agent.cfg;
     let view = agent.active_table.current();
     view.table
@@ -286,11 +287,11 @@
 
 /// Removes a version from the gate, waits for its requests to complete, and orders the engine to unload it.
 async fn drain_and_unload(agent: Arc<Agent>, version: Digest) {
-    let row = Version::Weights(version);
-    agent.gate.retire(&row);
+    let weights = Version::Weights(version);
+    agent.gate.retire(&weights);
     if !agent
         .gate
-        .wait_drained(Some(&row), agent.cfg.upkeep.drain_timeout)
+        .wait_drained(Some(&weights), agent.cfg.upkeep.drain_timeout)
         .await
     {
         warn!(target: PART, "{PART}: the drain of {} timed out with requests running", version.short());
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -51,7 +51,7 @@
 /// Runs an agent until `stop`, then drains it.
 ///
 /// # Errors
-/// An address that can't be listened on, missing settings, or a thread that can't be started.
+/// An address can't be bound, the control thread can't be started, or the settings name no origin.
 pub async fn run(cfg: AgentCfg, mut stop: StopSignal, render: Render) -> Result<(), AgentError> {
     let entries = bind(cfg.listen, "listen").await?;
     let peers = bind(cfg.peer, "peer").await?;
--- a/crates/agent/src/swarm.rs
+++ b/crates/agent/src/swarm.rs
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Returns the source to fetch a chunk from now; `None` if it is better to wait. `waited` is the time since the start
-    /// of the fetch, `stalled` the time since the last chunk from a peer.
+    /// Returns the source to fetch a chunk from now; `None` if it is better to wait. `waited` is the time since the
+    /// start of the fetch, `stalled` the time since the last chunk from a peer.
     pub fn choose(
         &self,
         i: usize,
@@ -330,8 +330,8 @@
         near.collect()
     }
 
-    /// Returns the permitted failure domains that have an eligible agent, sorted, and therefore in the same order at all
-    /// agents.
+    /// Returns the permitted failure domains that have an eligible agent, sorted, and therefore in the same order at
+    /// all agents.
     fn eligible_domains<'a>(&self, policy: &'a SourcePolicy) -> Vec<&'a DomainName> {
         let has_eligible_agent = |domain: &&DomainName| {
             **domain == policy.domain || self.eligible().any(|p| p.domain == **domain)
@@ -341,8 +341,8 @@
         domains
     }
 
-    /// Returns whether a slot is assigned to this agent within its failure domain. Slots are assigned round-robin in the
-    /// order of VMs, which gives each agent the same number of chunks. If the assigned agent is not eligible, a
+    /// Returns whether a slot is assigned to this agent within its failure domain. Slots are assigned round-robin in
+    /// the order of VMs, which gives each agent the same number of chunks. If the assigned agent is not eligible, a
     /// rendezvous hash selects one that is.
     fn is_assigned(&self, slot: usize, chunk: &Digest, policy: &SourcePolicy) -> bool {
         let mut vms: Vec<&VmId> = self
@@ -428,7 +428,8 @@
         if fetches_from_origin {
             return Some(from_origin(Source::Origin));
         }
-        // If the agent that fetches the chunk from the origin is gone, those assigned in their domains replace it before others.
+        // If the agent that fetches the chunk from the origin is gone, those assigned in their domains replace it
+        // before others.
         let origin_wait = match fetches_into_domain {
             true => policy.origin_wait,
             false => policy.origin_wait * 2,
