--- a/crates/agent/src/chunk.rs
+++ b/crates/agent/src/chunk.rs
@@ -146,7 +146,7 @@
 }
 
 /// Returns the chunk map of a peer; an empty one if it doesn't know the version, `None` if it fails to respond within
-/// [`CHUNK_MAP_TIMEOUT`].
+/// `CHUNK_MAP_TIMEOUT`.
 pub async fn fetch_chunk_map(
     agent: &Agent,
     addr: SocketAddr,
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -102,7 +102,7 @@
         .collect()
 }
 
-/// Decodes a chunk map that [`encode_chunk_map`] has encoded.
+/// Decodes a chunk map that `encode_chunk_map` has encoded.
 pub fn decode_chunk_map(text: &str) -> Vec<bool> {
     text.chars()
         .filter_map(|c| c.to_digit(16))
--- a/crates/agent/src/swarm.rs
+++ b/crates/agent/src/swarm.rs
@@ -166,7 +166,7 @@
     }
 
     /// Records that an agent failed to respond: discards its chunk map and backs off from it for
-    /// [`UNRESPONSIVE_TIME`].
+    /// `UNRESPONSIVE_TIME`.
     pub fn record_unresponsive(&mut self, addr: SocketAddr) {
         self.have.remove(&addr);
         self.back_off_until
