--- a/crates/decide/src/attempt_age.rs
+++ b/crates/decide/src/attempt_age.rs
@@ -1,6 +1,6 @@
 //! Estimates the age of a caller's first attempt.
 //!
-//! A request doesn't say whether it is a first attempt. It does state its caller's timeout, the time
+//! A request doesn't indicate whether it is a first attempt. It does state its caller's timeout, the time
 //! for which the caller still waits, and callers of a route usually start with the same timeout: a
 //! caller that has 4.4 s left where others have 6 s was refused or not answered 1.6 s ago. Where
 //! first timeouts differ between callers, only a timeout that is shorter by at least the minimum
--- a/crates/decide/src/contention.rs
+++ b/crates/decide/src/contention.rs
@@ -34,7 +34,7 @@
 }
 
 /// Returns whether one of `gateways` gateways tries an engine with free capacity for
-/// `free_capacity` requests, for a random `draw` in 0..1. `has_waited` says whether the request has
+/// `free_capacity` requests, for a random `draw` in 0..1. `has_waited` states whether the request has
 /// found no free capacity before.
 pub fn should_try(
     free_capacity: f64,
--- a/crates/decide/src/fanout.rs
+++ b/crates/decide/src/fanout.rs
@@ -29,7 +29,7 @@
 pub const RELAY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Maximum time between two updates to the receivers of changes: all gateways, or the leaders, which
-/// relay that the sender is up. A gateway that isn't heard from for 1 s counts as unreachable.
+/// relay that the sender is up. A gateway counts as unreachable after 1 s without an update.
 pub const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Minimum interval between two full updates to all gateways while changes are relayed. A full update
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -4,20 +4,20 @@
 //! passes in. They use no network, tasks or clock, so that tests can simulate any load.
 //!
 //! - [`attempt_age`]: age of a caller's first attempt, and so whether its objective can still be met.
-//! - [`fanout`]: gateways of a failure domain that a change of load is sent to at once.
 //! - [`back_off`]: time for which an upstream that rejected a request gets no others.
 //! - [`contention`]: whether to try an engine that other gateways see as equally free.
+//! - [`denial`]: whether the local replica of the configuration may deny a request.
 //! - [`draining`]: whether a draining upstream gets new requests.
-//! - [`queue`]: order and maximum wait of queued requests.
+//! - [`fanout`]: gateways of a failure domain that a change of load is sent to at once.
 //! - [`load_balancing`]: choice of the upstream for a request.
-//! - [`retry_after`]: time after which a refused caller should retry.
-//! - [`denial`]: whether the local replica of the configuration may deny a request.
 //! - [`outlier_detection`]: upstreams that are avoided because they fail most of their requests.
 //! - [`quarantine`]: requests that run on trial or are quarantined because upstreams exited under
 //!   them.
+//! - [`queue`]: order and maximum wait of queued requests.
 //! - [`rate_limit`]: request rate to an upstream that advertises a rate limit.
 //! - [`readers`]: gateways of a failure domain that read the store, and when.
 //! - [`residency`]: failure domains in which a request may run.
+//! - [`retry_after`]: time after which a refused caller should retry.
 //! - [`retry_budget`]: budget of retries.
 //! - [`senders`]: gateways that send to an upstream limited to a few requests a second.
 //! - [`slow_start`]: request rate to a cold upstream.
--- a/crates/decide/src/load_balancing.rs
+++ b/crates/decide/src/load_balancing.rs
@@ -20,7 +20,8 @@
 /// upstream.
 pub const JITTER: f64 = 0.3;
 
-/// Fraction of the objective that prompts ahead may take. Half of it serves 0.02 of a quiet day less.
+/// Fraction of the objective that prompts ahead may take. With half of it, the fraction served on a quiet
+/// day is 0.02 lower.
 const UNREAD_FRACTION: f64 = 0.25;
 
 /// Cost, in requests, of each second for which a request is expected to run after its engine is due
@@ -104,7 +105,7 @@
             return f64::from(candidate.requests) >= max;
         };
         candidate.requests + self.reserve(candidate) >= candidate.slots
-            || self.is_read_late(candidate, rate)
+            || self.has_prompt_backlog(candidate, rate)
             || self.has_own_unread(candidate)
     }
 
@@ -117,7 +118,7 @@
     }
 
     /// Returns whether the prompts ahead take too much of the objective.
-    fn is_read_late(&self, candidate: &Candidate, rate: f64) -> bool {
+    fn has_prompt_backlog(&self, candidate: &Candidate, rate: f64) -> bool {
         let ahead = candidate.unread as f64 / rate.max(1.0);
         ahead > self.objective.as_secs_f64() * UNREAD_FRACTION
     }
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -93,7 +93,7 @@
     /// The request may run on trial from this time on.
     WaitUntil(Instant),
     /// The request is already on trial.
-    InTrial,
+    OnTrial,
     /// The request is quarantined until this time.
     Quarantined(Instant),
 }
@@ -141,8 +141,8 @@
 
     /// Returns all suspects, the requests with at least one exit, in arbitrary order.
     pub fn suspects(&self) -> impl Iterator<Item = (Fingerprint, &SuspectState)> {
-        let open = self.suspects.iter().filter(|(_, s)| !s.exits.is_empty());
-        open.map(|(request, state)| (*request, state))
+        let with_exits = self.suspects.iter().filter(|(_, s)| !s.exits.is_empty());
+        with_exits.map(|(request, state)| (*request, state))
     }
 
     /// Returns all suspects, those with the most exits first, and the latest first among equals.
@@ -164,7 +164,7 @@
         let settled = last.at + SETTLE_TIME;
         match quarantined_until {
             Some(until) if now < until => Decision::Quarantined(until),
-            _ if state.is_in_trial(now) => Decision::InTrial,
+            _ if state.is_on_trial(now) => Decision::OnTrial,
             _ if now < settled => Decision::WaitUntil(settled),
             _ if state.exits.len() > 1 => Decision::Trial(Isolation::Required),
             _ => Decision::Trial(Isolation::Preferred),
@@ -178,8 +178,8 @@
 
     /// Returns the upstreams that run suspects on trial.
     pub fn trial_upstreams(&self, now: Instant) -> Vec<SocketAddr> {
-        let in_trial = self.suspects.values().filter(|s| s.is_in_trial(now));
-        in_trial.filter_map(|s| s.trial?.upstream).collect()
+        let on_trial = self.suspects.values().filter(|s| s.is_on_trial(now));
+        on_trial.filter_map(|s| s.trial?.upstream).collect()
     }
 
     /// Begins a trial and returns its number, or `None` if the request may not be on trial now.
@@ -317,7 +317,7 @@
 }
 
 impl SuspectState {
-    fn is_in_trial(&self, now: Instant) -> bool {
+    fn is_on_trial(&self, now: Instant) -> bool {
         let is_running = |t: &Trial| now.saturating_duration_since(t.started) < TRIAL_TIME;
         self.trial
             .is_some_and(|t| t.upstream.is_some() && is_running(&t))
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -9,7 +9,7 @@
 //! while each sender has just restarted and doesn't know what it sent before. A gateway that isn't
 //! listed sends nothing.
 //!
-//! Expected load: a whole failure domain that returns at once, or a power loss of all of them, after
+//! Expected load: a whole failure domain that recovers at once, or a power loss of all of them, after
 //! which all upstreams are cold, with the requests of the domain's own gateways.
 
 use std::time::{Duration, Instant};
--- a/crates/decide/tests/containment.rs
+++ b/crates/decide/tests/containment.rs
@@ -215,10 +215,10 @@
                 let jitter = ms(self.rng.random_range(0..JITTER_MS));
                 self.schedule(at - self.now + jitter, Event::Decide(attempt));
             }
-            Decision::InTrial if self.now < attempt.wait_until => {
+            Decision::OnTrial if self.now < attempt.wait_until => {
                 self.schedule(RECHECK, Event::Decide(attempt));
             }
-            Decision::InTrial => self.give_up(attempt),
+            Decision::OnTrial => self.give_up(attempt),
             Decision::Quarantined(_) => {
                 if attempt.request != DEADLY {
                     self.quarantined.push(attempt.request);
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -92,7 +92,7 @@
     );
     assert!(quarantine.end_trial(&request(1), first, upstream(3)));
 
-    assert_eq!((second, decision), (None, Decision::InTrial));
+    assert_eq!((second, decision), (None, Decision::OnTrial));
     assert_eq!(upstreams, [upstream(3)]);
     assert!(quarantine.trial_upstreams(now).is_empty());
     assert!(
--- a/crates/gateway/src/balance.rs
+++ b/crates/gateway/src/balance.rs
@@ -200,7 +200,7 @@
     NotSender,
 }
 
-/// Returns the slow-start state of a cold upstream that bears `rate` requests a second.
+/// Returns the slow-start state of a cold upstream that handles `rate` requests a second.
 fn slow_start_state(
     cx: &Cx,
     upstream: &Upstream,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -105,7 +105,7 @@
     pub confirmations: Confirmations,
     /// Document with the list of upstreams.
     pub upstream_list: ReplicatedDoc,
-    /// Document with the list of our own processes.
+    /// Document with the member list: all registered gateways and loaders.
     pub member_list: ReplicatedDoc,
     /// Number of the next load update.
     pub load_sequence: AtomicU64,
@@ -232,7 +232,7 @@
     pub configuration: DocName,
     /// Document with the list of upstreams.
     pub upstream_list: DocName,
-    /// Document with the list of our own processes.
+    /// Document with the member list: all registered gateways and loaders.
     pub member_list: DocName,
     /// Documents that are served to other processes.
     pub served_documents: Vec<DocName>,
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -1,7 +1,7 @@
 //! Requests that other gateways have in flight at each upstream, and their recent outcomes.
 //!
-//! In a small failure domain the gateways send each other an update after each change. In a large one the first of
-//! them relays changes (see [`crate::load_updates`]), and all send each other full updates at intervals. Links to
+//! In a small failure domain the gateways send each other an update after each change. In a large one a leader
+//! relays changes (see [`crate::load_updates`]), and all send each other full updates at intervals. Links to
 //! other failure domains are narrow and shared with requests and weights, so one gateway sends the sum of its failure
 //! domain there at intervals: the first by VM of those that were recently seen. There is no election: two gateways
 //! that both consider themselves the first do no harm, since a newer sum replaces an older one. One gateway of the
@@ -27,7 +27,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time without relayed changes after which the gateway that relays them counts as unreachable: it sends them every
-/// 40 ms while anything changes.
+/// [`RELAY_INTERVAL`](decide::fanout::RELAY_INTERVAL) while anything changes.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Maximum number of upstreams in an update, so that it fits a datagram.
--- a/crates/gateway/src/loss.rs
+++ b/crates/gateway/src/loss.rs
@@ -69,7 +69,7 @@
 /// Records that an upstream's response was lost, and probes whether the upstream has exited.
 pub(crate) async fn record(
     cx: &Cx,
-    job: &RoutedRequest,
+    req: &RoutedRequest,
     upstream: &Arc<Upstream>,
     loss: &ResponseLoss,
 ) -> UpstreamOutcome {
@@ -83,15 +83,15 @@
             info!(
                 target: PART,
                 "{PART}: event=upstream_ended upstream={} addr={} request={} route={} id={} why=\"{loss}\"",
-                upstream.instance, upstream.addr, job.fingerprint(), job.route.name, job.metadata.attempt_id,
+                upstream.instance, upstream.addr, req.fingerprint(), req.route.name, req.metadata.attempt_id,
             );
-            cx.suspects.record_exit(job, upstream);
+            cx.suspects.record_exit(req, upstream);
         }
         // A server error was already recorded as a failure when its head arrived.
         (UpstreamOutcome::Unknown, ResponseLoss::AmbiguousStatus(_)) => {}
         (UpstreamOutcome::Unknown, _) => {
             record_health(upstream, Health::Failed);
-            cx.suspects.record_lost_response(job, upstream);
+            cx.suspects.record_lost_response(req, upstream);
         }
     }
     metrics::counter!("driftnotch_lost_answers_total", "upstream" => outcome.name()).increment(1);
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,9 +1,9 @@
 //! Known upstreams, synchronized with the platform's list.
 //!
 //! An upstream that is missing from a list is removed, with one exception: after an outage of the store, entries that
-//! lapsed meanwhile reappear within `return_time` of its recovery, so until then missing upstreams are retained
+//! expired meanwhile reappear within `return_time` of its recovery, so until then missing upstreams are retained
 //! unchanged. A gateway that was merely partitioned from a store that others could reach gets no such period, since
-//! no entry lapsed.
+//! no entry expired.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,7 +19,7 @@
 /// Log prefix of this part.
 const PART: &str = "membership";
 
-/// Time between two lists above which the store counts as unreachable for all processes: entries lapse after three
+/// Time between two lists above which the store counts as unreachable for all processes: entries expire after three
 /// heartbeats without a write, and lists arrive every second, from the store or another gateway.
 const STORE_OUTAGE: Duration = Duration::from_millis(2500);
 
@@ -207,7 +207,7 @@
 }
 
 /// Drops entries whose address has a newer one: an upstream that restarted, or another one that was assigned the
-/// address, is listed beside the stale entry until that one lapses.
+/// address, is listed beside the stale entry until that one expires.
 fn newest_by_address(all: Vec<ListedUpstream>) -> Vec<ListedUpstream> {
     let mut newest: Map<SocketAddr, Revision> = Map::default();
     for listed in &all {
@@ -226,10 +226,10 @@
 }
 
 fn update_listing(known: &Upstream, listed: ListedUpstream) -> bool {
-    let leaving = listed.draining;
+    let draining = listed.draining;
     let differs = known.update_listing(listed);
     if differs {
-        info!(target: PART, "{PART}: event=changed upstream={} addr={} leaving={leaving}", known.instance, known.addr);
+        info!(target: PART, "{PART}: event=changed upstream={} addr={} leaving={draining}", known.instance, known.addr);
     }
     differs
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// Waits for the first event. The error is why there was none, and the state of the upstream.
+/// Waits for the first event. On failure returns the reason and the state of the upstream.
 pub async fn start(
     mut stream: EventStream,
     tried: Vec<Arc<Upstream>>,
@@ -250,7 +250,7 @@
         })
     }
 
-    /// Resumes the stream at another upstream. The error is why that is impossible.
+    /// Resumes the stream at another upstream. On failure returns the reason.
     async fn fail_over(&mut self) -> Result<(), &'static str> {
         let (cx, req) = (self.stream.cx.clone(), self.stream.req.clone());
         if req.remaining().is_zero() {
--- a/crates/gateway/src/release.rs
+++ b/crates/gateway/src/release.rs
@@ -27,7 +27,8 @@
     newest: watch::Sender<ReleaseList>,
     version_time: Duration,
     contact_time: Duration,
-    is_first: Mutex<bool>,
+    /// Whether the next list from the store is the first one.
+    is_first_list: Mutex<bool>,
     releases: Mutex<Map<Model, Vec<Deadline>>>,
 }
 
@@ -41,7 +42,7 @@
             newest,
             version_time,
             contact_time,
-            is_first: Mutex::new(true),
+            is_first_list: Mutex::new(true),
             releases: Mutex::default(),
         }
     }
@@ -49,12 +50,15 @@
     /// Applies the releases in the platform's store. A higher version that is already known stays, see
     /// [`ReleaseList::merge`].
     pub fn apply(&self, list: ReleaseList, now: Instant) {
-        let mut is_first = self.is_first.lock().unwrap_or_else(PoisonError::into_inner);
-        let bound = match std::mem::take(&mut *is_first) {
+        let mut is_first_list = self
+            .is_first_list
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let bound = match std::mem::take(&mut *is_first_list) {
             true => self.contact_time.min(self.version_time),
             false => self.version_time,
         };
-        drop(is_first);
+        drop(is_first_list);
         self.add(&list, now + bound.saturating_sub(MARGIN));
     }
 
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -27,10 +27,10 @@
 /// Log prefix of this part.
 const PART: &str = "suspects";
 
-/// Retry delay for a request that is in trial elsewhere: most streams have completed by then.
-const IN_TRIAL_RETRY: Duration = Duration::from_millis(1500);
+/// Retry delay for a request that is on trial elsewhere: most streams have completed by then.
+const ON_TRIAL_RETRY: Duration = Duration::from_millis(1500);
 
-/// Maximum wait of a request that is in trial elsewhere: a caller whose response broke off may retry before the
+/// Maximum wait of a request that is on trial elsewhere: a caller whose response broke off may retry before the
 /// update about that arrives. Another caller of the same request would wait for seconds, and is refused.
 const MAX_TRIAL_WAIT: Duration = Duration::from_millis(60);
 
@@ -45,7 +45,7 @@
 /// update of the first.
 const MAX_STAGGER: Duration = Duration::from_millis(40);
 
-/// Age up to which an exit may still affect other requests: the entry of the upstream lapses within 4 s, and the
+/// Age up to which an exit may still affect other requests: the entry of the upstream expires within 4 s, and the
 /// upstream may have recovered after 2 s.
 const RECENT_EXIT: Duration = Duration::from_secs(1);
 
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns the upstreams where suspects are in trial.
+    /// Returns the upstreams where suspects are on trial.
     pub(crate) fn active_trials(&self, now: Instant) -> Vec<SocketAddr> {
         self.quarantine().trial_upstreams(now)
     }
@@ -180,7 +180,7 @@
 
     /// Records that an upstream exited while it ran a request.
     pub(crate) fn record_exit(&self, req: &RoutedRequest, upstream: &Upstream) {
-        let workspace = req.workspace.as_ref().map_or("-", |t| &t.workspace);
+        let workspace = req.workspace.as_ref().map_or("-", |w| &w.workspace);
         let (request, exit) = (req.fingerprint(), exit_of(upstream));
         self.add_exit(request, upstream.addr, exit, &req.route.name, workspace);
     }
@@ -373,7 +373,7 @@
                 let stagger = MAX_STAGGER.mul_f64(rand::rng().random_range(0.0..1.0));
                 tokio::time::sleep(at.saturating_duration_since(now) + stagger).await;
             }
-            Decision::InTrial if now < wait_until => tokio::time::sleep(RECHECK_INTERVAL).await,
+            Decision::OnTrial if now < wait_until => tokio::time::sleep(RECHECK_INTERVAL).await,
             decision => return Err(refusal(decision)),
         }
     }
@@ -383,7 +383,7 @@
 fn refusal(decision: Decision) -> Refusal {
     match decision {
         Decision::Quarantined(_) => Refusal::Quarantined,
-        _ => Refusal::Suspect(IN_TRIAL_RETRY),
+        _ => Refusal::Suspect(ON_TRIAL_RETRY),
     }
 }
 
--- a/crates/gateway/src/unconfirmed.rs
+++ b/crates/gateway/src/unconfirmed.rs
@@ -11,7 +11,7 @@
 use base::{Fingerprint, Set, UpstreamIncarnation};
 use decide::quarantine::UpstreamExit;
 
-/// Time within which the platform's list shows an exit that a probe didn't show: an entry lapses after three
+/// Time within which the platform's list shows an exit that a probe didn't show: an entry expires after three
 /// heartbeats, and a list is up to 1.4 s old.
 const CONFIRM_TIME: Duration = Duration::from_secs(10);
 
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -354,7 +354,7 @@
                 }
             }
             Health::Replaced => {
-                // The entry lapses within this time.
+                // The entry expires within this time.
                 state.ejected_until = Some(clock::now() + MAX_EJECTION_TIME);
                 return true;
             }
--- a/crates/loader/src/announcer.rs
+++ b/crates/loader/src/announcer.rs
@@ -27,9 +27,9 @@
     /// Held chunks as last announced to the receivers of chunks from this loader.
     have: Vec<bool>,
     /// Last announcement in the own failure domain.
-    near: Instant,
+    last_near: Instant,
     /// Last announcement to other failure domains.
-    far: Instant,
+    last_far: Instant,
     /// Chunks that had been fetched from the origin by then.
     from_origin: u32,
     /// Whether those chunks are to be announced once more, in case the first announcement was lost.
@@ -42,8 +42,8 @@
     pub(crate) fn new(fetch: &Fetch, now: Instant) -> Announcer {
         Announcer {
             have: fetch.set.have(),
-            near: now,
-            far: now,
+            last_near: now,
+            last_far: now,
             from_origin: 0,
             repeat_far: false,
             asked_again: false,
@@ -70,12 +70,12 @@
             announce(&fetch.cx, &fetch.set, true, Scope::NearAndSample);
             return;
         }
-        if clock::since(self.near) >= announce_interval(fetch.near_loaders) {
+        if clock::since(self.last_near) >= announce_interval(fetch.near_loaders) {
             announce(&fetch.cx, &fetch.set, false, Scope::Near);
-            self.near = clock::now();
+            self.last_near = clock::now();
         }
         let is_new = fetch.counts.origin != self.from_origin;
-        if is_new || clock::since(self.far) >= FAR_INTERVAL {
+        if is_new || clock::since(self.last_far) >= FAR_INTERVAL {
             let scope = match is_new || self.repeat_far {
                 true => Scope::Far,
                 false => Scope::Sample,
@@ -83,7 +83,7 @@
             announce(&fetch.cx, &fetch.set, false, scope);
             self.from_origin = fetch.counts.origin;
             self.repeat_far = is_new;
-            self.far = clock::now();
+            self.last_far = clock::now();
         }
     }
 }
--- a/crates/loader/src/fetch.rs
+++ b/crates/loader/src/fetch.rs
@@ -29,7 +29,7 @@
 /// requested.
 const MAX_ORIGIN_FETCHES: usize = 2;
 
-/// Fraction of the origin's connections that is used; some are still occupied by loaders that are gone.
+/// Fraction of the origin's connections that is used; some are still occupied by loaders that have exited.
 const ORIGIN_USE: f64 = 0.7;
 
 /// Interval of checks for chunks that have become available and for announcements that are due.
@@ -38,7 +38,7 @@
 /// Minimum time between two reads of other loaders' announcements.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time after the start of a fetch for which loaders without an announcement are counted on.
+/// Time after the start of a fetch for which loaders without an announcement count as present.
 pub(crate) const GRACE_TIME: Duration = Duration::from_millis(400);
 
 /// Mean back-off after a failed request to the origin, for up to [`ORIGIN_BACK_OFF_LOADERS`] loaders; it grows in
@@ -243,7 +243,7 @@
         own.iter().enumerate().map(held).collect()
     }
 
-    /// Schedules the remaining chunks anew, starting now, since the origin is back. All loaders receive the announcement
+    /// Schedules the remaining chunks anew, starting now, since the origin has recovered. All loaders receive the announcement
     /// of the first chunk, so they start at about the same time.
     fn resume_origin(&mut self) {
         let now = clock::now();
--- a/crates/loader/src/lib.rs
+++ b/crates/loader/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`manifest`] fetches the list of a version's chunks.
 //! - [`fetch`] fetches missing chunks from other loaders and, by [`schedule`], from the origin into [`chunk_set`],
 //!   as many concurrently as [`window`] permits. [`announcer`] announces them to other loaders; [`presence`] decides
-//!   by such announcements which loaders are counted on.
+//!   by such announcements which loaders count as present.
 //! - [`stage`] stages the chunks at the engine and verifies them.
 //! - [`slot`] decides when the engine may leave service to switch.
 //!
@@ -74,8 +74,8 @@
     }
 }
 
-/// Dependencies of a loader.
-pub struct Wiring {
+/// Dependencies of a loader, passed to [`run()`].
+pub struct Dependencies {
     /// Settings.
     pub cfg: LoaderCfg,
     /// Service that the engine belongs to.
--- a/crates/loader/src/presence.rs
+++ b/crates/loader/src/presence.rs
@@ -1,4 +1,4 @@
-//! Decides by their announcements which other loaders are counted on to take part in a fetch.
+//! Decides by their announcements which other loaders count as present: they are expected to take part in a fetch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use crate::announcer::announce_interval;
 use crate::peers::PeerChunks;
 
-/// Announcement intervals without an announcement after which a fetching loader is no longer counted on.
+/// Announcement intervals without an announcement after which a fetching loader no longer counts as present.
 const MAX_SILENT_INTERVALS: f64 = 3.4;
 
-/// Time after which another failure domain is no longer counted on if none of its fetching loaders has sent an
+/// Time after which another failure domain no longer counts as present if none of its fetching loaders has sent an
 /// announcement here.
 const MAX_FAR_SILENCE: Duration = Duration::from_millis(1300);
 
-/// Loaders that are counted on, by their announcements.
+/// Loaders that count as present, by their announcements.
 pub(crate) struct Presence<'a> {
     received: &'a Map<SocketAddr, PeerChunks>,
     own: &'a DomainName,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns whether a loader is counted on. One that has announced nothing is, until the grace time is over.
+    /// Returns whether a loader counts as present. One that has announced nothing does until the grace time is over.
     pub(crate) fn is_present(&self, m: &Member, grace_over: bool) -> bool {
         match self.received.get(&m.peer_addr) {
             _ if m.domain != *self.own && self.domains.contains(&m.domain) => true,
--- a/crates/loader/src/rollout.rs
+++ b/crates/loader/src/rollout.rs
@@ -132,7 +132,7 @@
     }
 
     /// Returns when a version became known.
-    fn since(&self, model: &Model, version: WeightsVersion) -> Option<Instant> {
+    fn known_since(&self, model: &Model, version: WeightsVersion) -> Option<Instant> {
         let known = self.cx.known.borrow();
         known.since.get(&(model.clone(), version)).copied()
     }
@@ -181,7 +181,7 @@
     /// engines would hold no version that may start requests for a while.
     fn can_skip(&self, model: &Model, version: WeightsVersion) -> bool {
         let bound = self.cx.cfg.node.version_time;
-        let since = self.since(model, version);
+        let since = self.known_since(model, version);
         since.is_none_or(|at| can_skip(clock::since(at), bound))
     }
 
@@ -228,7 +228,7 @@
     fn detect_restart(&mut self, state: &EngineState) {
         let before = self.last_state.replace(state.clone());
         if before.is_some_and(|before| state.is_new_incarnation(&before)) {
-            info!(target: PART, "{PART}: event=started_again born={:?} orders={} holdings={:?}", state.start_time, state.orders, state.holdings);
+            info!(target: PART, "{PART}: event=restarted start_time={:?} orders={} holdings={:?}", state.start_time, state.orders, state.holdings);
             self.pending_order = None;
             self.cx.leaving.store(false, Ordering::Relaxed);
         }
@@ -242,8 +242,8 @@
         };
         let bound = self.cx.cfg.node.version_time;
         let (Some(since), Some(older_since)) = (
-            self.since(&older.model, newer),
-            self.since(&older.model, older.version),
+            self.known_since(&older.model, newer),
+            self.known_since(&older.model, older.version),
         ) else {
             return false;
         };
@@ -261,7 +261,7 @@
     /// Returns the start of the engine's slot for a version.
     fn slot(&self, model: &Model, version: WeightsVersion) -> Instant {
         let others: Vec<VmId> = loaders(&self.cx).into_iter().map(|m| m.vm).collect();
-        let since = self.since(model, version);
+        let since = self.known_since(model, version);
         slot_start(
             &self.cx.cfg.node.vm,
             &others,
@@ -341,19 +341,19 @@
 /// complete: while the origin is unreachable, other loaders may still provide them, but not this version.
 async fn fetch_version(cx: Arc<Cx>, origin: OriginVersion, client: Client, older: Vec<OlderFetch>) {
     let manifest = manifest(&cx, &origin, &client).await;
-    let kept = abort_older(&cx, &origin.model, older);
+    let remaining = abort_older(&cx, &origin.model, older);
     let set = ChunkSet::new(origin.model.clone(), origin.version, manifest);
     let set = cx.sets.add(set);
     // Aborts the read-back when this task ends.
-    let mut reading = JoinSet::new();
+    let mut read_back_task = JoinSet::new();
     match origin.version == FIRST_VERSION || cx.sets.newest_complete(&origin.model).is_none() {
         true => {
-            reading.spawn(read_back_when_up(cx.clone(), set.clone()));
+            read_back_task.spawn(read_back_when_up(cx.clone(), set.clone()));
         }
         false => set.set_read_back(),
     }
     fetch(cx, set, origin, client).await;
-    kept.iter().for_each(AbortHandle::abort);
+    remaining.iter().for_each(AbortHandle::abort);
 }
 
 /// Reads back the chunks staged at the engine as soon as it can be reached.
--- a/crates/loader/src/run.rs
+++ b/crates/loader/src/run.rs
@@ -14,32 +14,32 @@
 use crate::rollout::roll_out;
 use crate::status::publish;
 use crate::window::Window;
-use crate::{Cx, Wiring};
+use crate::{Cx, Dependencies};
 
 /// Log prefix of this part.
 const PART: &str = "loader";
 
 /// Runs a loader until it is stopped.
-pub async fn run(wiring: Wiring) -> std::io::Result<()> {
-    let listener = TcpListener::bind(wiring.cfg.chunks).await?;
-    let beacon = Beacon::bind(wiring.cfg.node.beacon).await?;
+pub async fn run(deps: Dependencies) -> std::io::Result<()> {
+    let listener = TcpListener::bind(deps.cfg.chunks).await?;
+    let beacon = Beacon::bind(deps.cfg.node.beacon).await?;
     let cx = Arc::new(Cx {
-        service: wiring.service,
-        api: wiring.api,
-        catalog: wiring.catalog,
-        known: wiring.known,
-        members: wiring.members,
-        stop: wiring.stop,
+        service: deps.service,
+        api: deps.api,
+        catalog: deps.catalog,
+        known: deps.known,
+        members: deps.members,
+        stop: deps.stop,
         incarnation: base::unix_ms(),
         beacon,
         sets: ChunkSets::default(),
-        window: Window::new(wiring.cfg.fetches as usize),
+        window: Window::new(deps.cfg.fetches as usize),
         peers: std::sync::Mutex::new(Peers::default()),
         announced: Notify::new(),
         poll_engine: Notify::new(),
         leaving: AtomicBool::new(false),
         leaves_at: std::sync::Mutex::new(None),
-        cfg: wiring.cfg,
+        cfg: deps.cfg,
     });
     info!(target: PART, "{PART}: event=started vm={} engine={} incarnation={}", cx.cfg.node.vm, cx.cfg.engine, cx.incarnation);
     let serving = cx.clone();
@@ -57,7 +57,7 @@
     tokio::spawn(roll_out(cx.clone(), rx));
     let mut stop = cx.stop.clone();
     if stop.wait_for(|stopping| *stopping).await.is_err() {
-        warn!(target: PART, "{PART}: event=signals_lost");
+        warn!(target: PART, "{PART}: event=stop_channel_closed");
     }
     info!(target: PART, "{PART}: event=stopped vm={}", cx.cfg.node.vm);
     Ok(())
--- a/crates/loader/src/slot.rs
+++ b/crates/loader/src/slot.rs
@@ -25,7 +25,7 @@
 
 /// Fraction of an older version's chunks that loaders must hold together for its fetch to be completed beside a
 /// newer version: little of it is left to fetch, and if the origin becomes unreachable no other version can be
-/// had. Two releases 2 s apart with an origin failure between them left 12 engines for 5 s without a version that
+/// fetched. Two releases 2 s apart with an origin failure between them left 12 engines for 5 s without a version that
 /// may run.
 const MIN_AVAILABLE: f64 = 0.75;
 
