--- a/crates/gateway/src/feedback.rs
+++ b/crates/gateway/src/feedback.rs
@@ -2,7 +2,7 @@
 //!
 //! It is stored by incarnation and separately from [`Upstream`], since it outlives an entry that is missing from the
 //! platform's list for a while. [`decide::rate_limit`], [`decide::draining`] and [`decide::back_off`] decide on its
-//! effects; [`crate::rate_limit_updates`] sends rate limits to other gateways.
+//! effects; `crate::rate_limit_updates` sends rate limits to other gateways.
 
 use std::fmt::Debug;
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! Gateway: accepts callers' requests and forwards each to an upstream that may run it.
 //!
-//! A request passes through these modules: [`serve`] accepts its connection, [`handle`] looks up its route and
-//! workspace and reads its body, [`admission`] queues it for a slot at an upstream that [`balance`] chooses, [`send`]
-//! sends it and classifies the response, [`relay`] relays a stream, and [`record`] logs its outcome in one line, with
+//! A request passes through these modules: `serve` accepts its connection, `handle` looks up its route and
+//! workspace and reads its body, [`admission`] queues it for a slot at an upstream that `balance` chooses, `send`
+//! sends it and classifies the response, `relay` relays a stream, and `record` logs its outcome in one line, with
 //! the time spent in each phase ([`spans`]). The crate `decide` makes the decisions: the order of the queue, the choice
 //! of the upstream, and refusals.
 //!
--- a/crates/gateway/src/suspects.rs
+++ b/crates/gateway/src/suspects.rs
@@ -2,7 +2,7 @@
 //!
 //! [`decide::quarantine`] decides about them. Each attempt is checked here before it waits for a slot and again when
 //! it has one: a first attempt, a retry after a lost response, and a stream that is resumed at another upstream.
-//! [`crate::suspect_updates`] sends updates to other gateways.
+//! `crate::suspect_updates` sends updates to other gateways.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/loader/src/lib.rs
+++ b/crates/loader/src/lib.rs
@@ -1,15 +1,15 @@
 //! Fetches released weights for the engine on the same VM and serves their chunks to other loaders.
 //!
-//! [`rollout`] decides which version the engine should hold and runs these steps:
+//! `rollout` decides which version the engine should hold and runs these steps:
 //!
-//! - [`manifest`] fetches the list of a version's chunks.
-//! - [`fetch`] fetches missing chunks from other loaders and, by [`schedule`], from the origin into [`chunk_set`],
-//!   as many concurrently as [`window`] permits. [`announcer`] announces them to other loaders; [`presence`] decides
+//! - `manifest` fetches the list of a version's chunks.
+//! - `fetch` fetches missing chunks from other loaders and, by [`schedule`], from the origin into [`chunk_set`],
+//!   as many concurrently as [`window`] permits. `announcer` announces them to other loaders; `presence` decides
 //!   by such announcements which loaders count as present.
-//! - [`stage`] stages the chunks at the engine and verifies them.
+//! - `stage` stages the chunks at the engine and verifies them.
 //! - [`slot`] decides when the engine may leave service to switch.
 //!
-//! [`status`] publishes the state of the engine to gateways. The calls to the engine and the origin depend on the
+//! `status` publishes the state of the engine to gateways. The calls to the engine and the origin depend on the
 //! platform, which provides them by [`api`].
 
 #![deny(clippy::disallowed_methods)]
