--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -51,8 +51,8 @@
 fn status(agent: &Agent) -> Status {
     let read = |n: &AtomicU64| n.load(Ordering::Relaxed);
     Status {
-        vm: agent.cfg.upkeep.vm.clone(),
-        domain: agent.cfg.upkeep.domain.clone(),
+        vm: agent.cfg.process.vm.clone(),
+        domain: agent.cfg.process.domain.clone(),
         leaving: agent.is_leaving(),
         superseded: agent.is_superseded(),
         revision: agent.active_table.revision(),
--- a/crates/agent/src/chunk.rs
+++ b/crates/agent/src/chunk.rs
@@ -125,7 +125,7 @@
 ) -> Result<(Bytes, HeaderMap), ChunkError> {
     let req = hyper::Request::builder()
         .uri(path)
-        .header(header::DOMAIN, &agent.cfg.upkeep.domain)
+        .header(header::DOMAIN, &agent.cfg.process.domain)
         .body(web::empty())
         .map_err(|e| ChunkError::Source(e.to_string()))?;
     let res = agent
@@ -198,7 +198,7 @@
 
 async fn fetch_manifest_from_peer(agent: &Agent, version: Digest) -> Option<Manifest> {
     let peers = request_peers(agent, Version::Weights(version)).await?;
-    let own = &agent.cfg.upkeep.vm;
+    let own = &agent.cfg.process.vm;
     let others: Vec<Peer> = peers.into_iter().filter(|p| p.vm != *own).collect();
     let peer = others.choose(&mut rand::rng())?;
     let path = format!("/manifest/{version}");
--- a/crates/agent/src/fetch.rs
+++ b/crates/agent/src/fetch.rs
@@ -94,8 +94,8 @@
     let permits = |domain: &&String| view.table.permits_weights(&version, domain, domains);
     let permitted = domains.names().filter(permits).cloned().collect();
     SourcePolicy {
-        vm: agent.cfg.upkeep.vm.clone(),
-        domain: agent.cfg.upkeep.domain.clone(),
+        vm: agent.cfg.process.vm.clone(),
+        domain: agent.cfg.process.domain.clone(),
         permitted,
         settle_time: SETTLE_TIME,
         copy_per_domain: agent.cfg.origin_copies == "domain",
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -148,7 +148,7 @@
 ) -> Result<(), Refusal> {
     let domains = active_table.domains();
     let view = active_table.current();
-    let own = &cfg.upkeep.domain;
+    let own = &cfg.process.domain;
     let row = match view.table.find(&meta.model, &meta.version, own, domains) {
         Some(row) if row.permits(&meta.domain, domains) => row,
         _ if !cfg.check_places => return Ok(()),
--- a/crates/agent/src/handle.rs
+++ b/crates/agent/src/handle.rs
@@ -69,9 +69,9 @@
         Ok(permit) => permit,
         Err(refusal) => return refusal_response(&agent, refusal),
     };
-    let upkeep = &agent.cfg.upkeep;
+    let process = &agent.cfg.process;
     let (head, body) = req.into_parts();
-    let body = match read_body(body, upkeep.max_body, upkeep.body_timeout).await {
+    let body = match read_body(body, process.max_body, process.body_timeout).await {
         Ok(body) => body,
         Err(_) => return refusal_response(&agent, Refusal::Malformed),
     };
@@ -275,7 +275,7 @@
 }
 
 fn set_agent_headers(agent: &Agent, headers: &mut HeaderMap) {
-    web::set_header(headers, header::DOMAIN, &agent.cfg.upkeep.domain);
+    web::set_header(headers, header::DOMAIN, &agent.cfg.process.domain);
     web::set_header(headers, header::LOAD, &agent.gate.running().to_string());
     web::set_header(headers, header::INCARNATION, &agent.incarnation.to_string());
 }
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -132,7 +132,7 @@
             let failing = failed.get(addr).is_some_and(|at| at > last_seen);
             settings.contains(addr) || !failing || clock::since(*last_seen) < REMOVE_TIME
         });
-        let vm = &self.agent.cfg.upkeep.vm;
+        let vm = &self.agent.cfg.process.vm;
         let mut ranked: Vec<(bool, Digest, SocketAddr)> = self
             .known
             .keys()
@@ -170,7 +170,7 @@
     sessions: &Sessions,
     entries_tx: &EntriesTx,
 ) -> Result<(), WireError> {
-    let link = Link::connect(addr, agent.cfg.upkeep.source, &agent.traffic).await?;
+    let link = Link::connect(addr, agent.cfg.process.source, &agent.traffic).await?;
     let session = Rc::new(link.join(&agent_info(agent)).await?);
     info!(target: PART, "{PART}: joined entry {addr}");
     sessions.borrow_mut().insert(addr, session.clone());
@@ -271,11 +271,11 @@
 
 fn agent_info(agent: &Agent) -> AgentInfo {
     AgentInfo {
-        vm: agent.cfg.upkeep.vm.clone(),
-        domain: agent.cfg.upkeep.domain.clone(),
+        vm: agent.cfg.process.vm.clone(),
+        domain: agent.cfg.process.domain.clone(),
         incarnation: agent.incarnation,
-        listen: agent.cfg.listen_reached(),
-        peer: agent.cfg.peer_reached(),
+        listen: agent.cfg.advertised_listen(),
+        peer: agent.cfg.advertised_peer(),
         service: !agent.cfg.is_engine(),
         repeatable: agent.cfg.repeatable,
     }
--- a/crates/agent/src/rollout.rs
+++ b/crates/agent/src/rollout.rs
@@ -227,7 +227,7 @@
     view.table
         .rows
         .iter()
-        .filter(|row| row.permits(&cfg.upkeep.domain, agent.active_table.domains()))
+        .filter(|row| row.permits(&cfg.process.domain, agent.active_table.domains()))
         .filter(|row| cfg.runs(&row.model))
         .filter(|row| cfg.is_engine() == row.version.digest().is_some())
         .map(|row| WantedVersion {
@@ -291,7 +291,7 @@
     agent.gate.retire(&weights);
     if !agent
         .gate
-        .wait_drained(Some(&weights), agent.cfg.upkeep.drain_timeout)
+        .wait_drained(Some(&weights), agent.cfg.process.drain_timeout)
         .await
     {
         warn!(target: PART, "{PART}: the drain of {} timed out with requests running", version.short());
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -55,20 +55,20 @@
 pub async fn run(cfg: AgentCfg, mut stop: StopSignal, render: Render) -> Result<(), AgentError> {
     let entries = bind(cfg.listen, "listen").await?;
     let peers = bind(cfg.peer, "peer").await?;
-    let admin = bind(cfg.upkeep.admin, "admin").await?;
-    let upkeep = cfg.upkeep.clone();
+    let admin = bind(cfg.process.admin, "admin").await?;
+    let process = cfg.process.clone();
     let serves = Arc::new(Semaphore::new(cfg.serves as usize));
     let (requests_tx, requests) = mpsc::channel(MAX_PEERS_REQUESTS);
     let agent = new_agent(cfg, requests_tx)?;
-    info!(target: PART, "{PART}: {} in {} listens on {}", upkeep.vm, upkeep.domain, agent.cfg.listen);
+    info!(target: PART, "{PART}: {} in {} listens on {}", process.vm, process.domain, agent.cfg.listen);
     start_links(&agent, requests)?;
     tokio::spawn(rollout::run(agent.clone()));
     let (close, closing) = watch::channel(false);
     let limits = ServerLimits {
-        max_connections: upkeep.max_connections,
-        header_timeout: upkeep.header_timeout,
-        max_header_bytes: upkeep.max_header,
-        drain_timeout: upkeep.drain_timeout,
+        max_connections: process.max_connections,
+        header_timeout: process.header_timeout,
+        max_header_bytes: process.max_header,
+        drain_timeout: process.drain_timeout,
     };
     let a = agent.clone();
     let entry_server = tokio::spawn(web::serve(entries, limits, closing.clone(), move |req| {
@@ -95,12 +95,12 @@
 
 /// Refuses new requests, informs the entries, and waits for the running requests to complete.
 async fn drain(agent: &Agent) {
-    let upkeep = &agent.cfg.upkeep;
+    let process = &agent.cfg.process;
     info!(target: PART, "{PART}: stopping; draining running requests");
     agent.start_leaving();
-    tokio::time::sleep(upkeep.stop_notice).await;
-    if !agent.gate.wait_drained(None, upkeep.drain_timeout).await {
-        warn!(target: PART, "{PART}: the drain timed out after {:?} with requests running", upkeep.drain_timeout);
+    tokio::time::sleep(process.stop_notice).await;
+    if !agent.gate.wait_drained(None, process.drain_timeout).await {
+        warn!(target: PART, "{PART}: the drain timed out after {:?} with requests running", process.drain_timeout);
     }
 }
 
@@ -118,29 +118,29 @@
     cfg: AgentCfg,
     peers_requests: mpsc::Sender<PeersRequest>,
 ) -> Result<Arc<Agent>, AgentError> {
-    let upkeep = &cfg.upkeep;
-    let platform = &upkeep.platform;
+    let process = &cfg.process;
+    let platform = &process.platform;
     let origin = platform.origin.ok_or(AgentError::NoOrigin)?;
     // The clock of the VM orders the incarnations of its agents; see docs/DESIGN.md.
     let incarnation = unix_ms();
     Ok(Arc::new(Agent {
         incarnation,
-        active_table: Arc::new(ActiveTable::new(upkeep.domains.clone())),
+        active_table: Arc::new(ActiveTable::new(process.domains.clone())),
         gate: Gate::default(),
         ledger: Ledger::new(cfg.answer_memory as usize, cfg.answer_retention),
         engine: Engine::new(cfg.upstream, cfg.engine_timeout, cfg.load_timeout),
         client: Client::new(DialOptions {
             timeout: CONNECT_TIMEOUT,
             keep_alive: true,
-            source: upkeep.source,
+            source: process.source,
         }),
-        objects: Objects::new(Kv::new(platform.objects, platform.dial())),
+        objects: Objects::new(Kv::new(platform.objects, platform.dial_options())),
         origin: Origin::new(
             origin,
             DialOptions {
                 timeout: cfg.chunk_timeout,
                 keep_alive: true,
-                source: upkeep.source,
+                source: process.source,
             },
         ),
         peers_requests,
--- a/crates/cli/src/commands/agent.rs
+++ b/crates/cli/src/commands/agent.rs
@@ -12,7 +12,7 @@
     let Settings::Agent(cfg) = process::load(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "an agent"));
     };
-    let process = process::start(settings, &cfg.upkeep.log)?;
+    let process = process::start(settings, &cfg.process.log)?;
     process
         .runtime
         .block_on(agent::run(*cfg, process.stop, process.render))
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -54,8 +54,8 @@
 
 fn domains_of(settings: Settings) -> Option<Domains> {
     match settings {
-        Settings::Entry(cfg) => Some(cfg.upkeep.domains),
-        Settings::Agent(cfg) => Some(cfg.upkeep.domains),
+        Settings::Entry(cfg) => Some(cfg.process.domains),
+        Settings::Agent(cfg) => Some(cfg.process.domains),
         Settings::Operator(cfg) => Some(cfg.domains),
         Settings::Gateway(_) | Settings::Loader(_) => None,
     }
--- a/crates/cli/src/commands/entry.rs
+++ b/crates/cli/src/commands/entry.rs
@@ -12,7 +12,7 @@
     let Settings::Entry(cfg) = process::load(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "an entry"));
     };
-    let process = process::start(settings, &cfg.upkeep.log)?;
+    let process = process::start(settings, &cfg.process.log)?;
     process
         .runtime
         .block_on(entry::run(*cfg, process.stop, process.render))
--- a/crates/cli/src/commands/gateway.rs
+++ b/crates/cli/src/commands/gateway.rs
@@ -9,7 +9,7 @@
 
 /// Runs a gateway until it is stopped.
 pub fn run(settings: &Path) -> Result<(), Error> {
-    let (Settings::Gateway(cfg), faults) = process::load_to_run(settings)? else {
+    let (Settings::Gateway(cfg), faults) = process::load_with_defaults(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "a gateway"));
     };
     let process = process::start_node(settings, &cfg.node, &faults)?;
--- a/crates/cli/src/commands/loader.rs
+++ b/crates/cli/src/commands/loader.rs
@@ -9,7 +9,7 @@
 
 /// Runs a loader until it is stopped.
 pub fn run(settings: &Path) -> Result<(), Error> {
-    let (Settings::Loader(cfg), faults) = process::load_to_run(settings)? else {
+    let (Settings::Loader(cfg), faults) = process::load_with_defaults(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "a loader"));
     };
     let process = process::start_node(settings, &cfg.node, &faults)?;
--- a/crates/cli/src/commands/operator.rs
+++ b/crates/cli/src/commands/operator.rs
@@ -38,7 +38,7 @@
 
 /// The table's editions.
 pub fn tables(cfg: &OperatorCfg) -> Tables {
-    Tables::new(Kv::new(cfg.platform.table, cfg.platform.dial()))
+    Tables::new(Kv::new(cfg.platform.table, cfg.platform.dial_options()))
 }
 
 /// Asks an admin address; `None` where nobody answers.
--- a/crates/cli/src/commands/process.rs
+++ b/crates/cli/src/commands/process.rs
@@ -36,8 +36,8 @@
 }
 
 /// Loads the settings of a gateway or a loader, with the faults that it runs with.
-pub fn load_to_run(path: &Path) -> Result<(Settings, FaultList), Error> {
-    let (settings, faults) = settings::load_to_run(path)
+pub fn load_with_defaults(path: &Path) -> Result<(Settings, FaultList), Error> {
+    let (settings, faults) = settings::load_with_defaults(path)
         .map_err(|faults| Error::Faults(path.to_owned(), FaultList(faults)))?;
     Ok((settings, FaultList(faults)))
 }
--- a/crates/cli/src/commands/publish.rs
+++ b/crates/cli/src/commands/publish.rs
@@ -32,7 +32,7 @@
     let manifest =
         Manifest::from_reader(open(&options.file)?, options.chunk_bytes).map_err(Error::Weights)?;
     let version = manifest.digest();
-    let kv = Kv::new(cfg.platform.objects, cfg.platform.dial());
+    let kv = Kv::new(cfg.platform.objects, cfg.platform.dial_options());
     let origin = cfg
         .platform
         .origin
--- a/crates/cli/src/stop.rs
+++ b/crates/cli/src/stop.rs
@@ -45,7 +45,7 @@
 }
 
 fn reload(settings: &Path, handle: &log4rs::Handle, target: logs::Target) {
-    let log = match settings::load_to_run(settings) {
+    let log = match settings::load_with_defaults(settings) {
         Ok((settings, _)) => settings.log().clone(),
         Err(faults) => {
             let n = faults.len();
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -81,7 +81,7 @@
             serde_json::to_string(&status(&entry)).expect("the status is plain data"),
         ),
         "/burn" => {
-            let history = entry.telemetry.history(&entry.cfg.upkeep.domain);
+            let history = entry.telemetry.history(&entry.cfg.process.domain);
             web::json(
                 200,
                 serde_json::to_string(&history).expect("the history is plain data"),
@@ -102,7 +102,7 @@
 
 fn status(entry: &Entry) -> Status {
     let active = entry.active_table.current();
-    let upkeep = &entry.cfg.upkeep;
+    let process = &entry.cfg.process;
     let mut upstreams: Vec<UpstreamStatus> = entry
         .fleet
         .local()
@@ -120,8 +120,8 @@
     upstreams.sort_by(|a, b| a.vm.cmp(&b.vm));
     let others = entry.fleet.entries().into_iter();
     Status {
-        vm: upkeep.vm.clone(),
-        domain: upkeep.domain.clone(),
+        vm: process.vm.clone(),
+        domain: process.domain.clone(),
         leaving: entry.is_stopping(),
         revision: active.edition.revision,
         in_force_ms: clock::since(active.since).as_millis() as u64,
--- a/crates/entry/src/membership/control.rs
+++ b/crates/entry/src/membership/control.rs
@@ -60,8 +60,8 @@
         mut results: rpc::JoinResults,
     ) -> Result<(), Error> {
         let info = convert::read_info(params.get()?.get_info()?)?;
-        if info.domain != self.entry.cfg.upkeep.domain {
-            let own = &self.entry.cfg.upkeep.domain;
+        if info.domain != self.entry.cfg.process.domain {
+            let own = &self.entry.cfg.process.domain;
             return Err(Error::failed(format!(
                 "this entry is in {own}; link to the entries of {}",
                 info.domain
@@ -261,15 +261,15 @@
 /// Builds the update for the entry at `addr` in the failure domain `to`. Without an address, the
 /// peer isn't known yet, and the update has no lists.
 pub fn own_update(entry: &Entry, to: &str, addr: Option<SocketAddr>) -> EntryUpdate {
-    let upkeep = &entry.cfg.upkeep;
+    let process = &entry.cfg.process;
     let fleet = &entry.fleet;
-    let sibling = to == upkeep.domain;
+    let sibling = to == process.domain;
     let state = fleet.state(to);
     let has_lists = addr.is_some_and(|addr| fleet.acknowledged_state(addr) != state);
     EntryUpdate {
-        vm: upkeep.vm.clone(),
-        domain: upkeep.domain.clone(),
-        control: entry.cfg.control_reached(),
+        vm: process.vm.clone(),
+        domain: process.domain.clone(),
+        control: entry.cfg.advertised_control(),
         freshness: freshness(entry),
         leaving: entry.is_stopping(),
         entries: entry.address_book.sample(MAX_SAMPLED_ENTRIES),
@@ -292,5 +292,5 @@
 
 fn domain_entries(entry: &Entry) -> Vec<SocketAddr> {
     let siblings = entry.fleet.siblings().into_iter().map(|e| e.update.control);
-    siblings.chain([entry.cfg.control_reached()]).collect()
+    siblings.chain([entry.cfg.advertised_control()]).collect()
 }
--- a/crates/entry/src/membership/links.rs
+++ b/crates/entry/src/membership/links.rs
@@ -145,14 +145,14 @@
     let mut remote: Map<&DomainName, Vec<SocketAddr>> = Map::default();
     for addr in entry.address_book.all() {
         match known_domains.get(&addr) {
-            Some(domain) if *domain != entry.cfg.upkeep.domain => {
+            Some(domain) if *domain != entry.cfg.process.domain => {
                 remote.entry(domain).or_default().push(addr);
             }
             _ => drop(wanted.insert(addr)),
         }
     }
     for mut addrs in remote.into_values() {
-        addrs.sort_by_key(|addr| rank(&entry.cfg.upkeep.vm, addr));
+        addrs.sort_by_key(|addr| rank(&entry.cfg.process.vm, addr));
         wanted.extend(addrs.into_iter().take(LINKS_PER_REMOTE_DOMAIN));
     }
     wanted
@@ -186,14 +186,15 @@
     addr: SocketAddr,
     open_links: &OpenLinks,
 ) -> Result<(), WireError> {
-    let link = Rc::new(Link::connect(addr, entry.cfg.upkeep.source, &entry.control_traffic).await?);
+    let link =
+        Rc::new(Link::connect(addr, entry.cfg.process.source, &entry.control_traffic).await?);
     let to = exchange(entry, &link, None).await?;
     info!(target: PART, "{PART}: linked to entry {addr} in {to}");
     open_links.borrow_mut().insert(addr, link.clone());
     let watched_link = link.clone();
     let watcher = watch(entry, &watched_link, addr);
     tokio::pin!(watcher);
-    let mut changes = match to == entry.cfg.upkeep.domain {
+    let mut changes = match to == entry.cfg.process.domain {
         true => entry.fleet.watch_joined(),
         false => entry.fleet.watch_domain(),
     };
@@ -258,7 +259,7 @@
 }
 
 fn is_watched(entry: &Entry, addr: SocketAddr) -> bool {
-    let vm = &entry.cfg.upkeep.vm;
+    let vm = &entry.cfg.process.vm;
     let own = rank(vm, &addr);
     let others = entry.fleet.entries();
     let ranked_before = others.iter().filter(|e| rank(vm, &e.update.control) < own);
@@ -311,7 +312,7 @@
 
 async fn forward_claims(entry: Arc<Entry>, open_links: OpenLinks, job: ClaimJob) {
     let link = open_links.borrow().get(&job.to).cloned();
-    let timeout = entry.cfg.upkeep.platform.timeout;
+    let timeout = entry.cfg.process.platform.timeout;
     let results = match link {
         Some(link) => link.claim(&job.claims, timeout).await.ok(),
         None => Some(entry.claims.commit(job.claims.clone()).await),
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -100,8 +100,8 @@
         if !is_completion && service.is_none() {
             return Err(Refusal::NoPath);
         }
-        let timeout = cfg.upkeep.body_timeout;
-        let body = read_body(body, cfg.upkeep.max_body, timeout)
+        let timeout = cfg.process.body_timeout;
+        let body = read_body(body, cfg.process.max_body, timeout)
             .await
             .map_err(|e| match e {
                 BodyError::TooLarge(limit) => Refusal::TooLarge(limit),
--- a/crates/entry/src/route/attempt.rs
+++ b/crates/entry/src/route/attempt.rs
@@ -103,7 +103,7 @@
         header::PRIORITY,
         &priority(request, row).to_string(),
     );
-    web::set_header(headers, header::DOMAIN, &entry.cfg.upkeep.domain);
+    web::set_header(headers, header::DOMAIN, &entry.cfg.process.domain);
     web::set_header(headers, header::WORKSPACE, &request.workspace);
     if send_once {
         web::set_header(headers, header::UNSAFE, "true");
--- a/crates/entry/src/route/balance.rs
+++ b/crates/entry/src/route/balance.rs
@@ -97,7 +97,7 @@
         upstreams
             .into_iter()
             .filter(|u| !tried.iter().any(|t| Arc::ptr_eq(t, u)))
-            .filter(|u| !cfg.check_places || row.permits(u.domain(), &cfg.upkeep.domains))
+            .filter(|u| !cfg.check_places || row.permits(u.domain(), &cfg.process.domains))
             .filter(|u| !fleet.is_listed_draining(u.vm()))
             .filter_map(|upstream| {
                 let live_since = upstream.live_since(&row.model, &row.version)?;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -54,8 +54,8 @@
 /// Runs an entry until `stop`, then drains the requests in flight.
 pub async fn run(cfg: EntryCfg, mut stop: StopSignal, render: Render) -> Result<(), EntryError> {
     let control = bind(cfg.control, "control").await?;
-    let admin = bind(cfg.upkeep.admin, "admin").await?;
-    let upkeep = cfg.upkeep.clone();
+    let admin = bind(cfg.process.admin, "admin").await?;
+    let process = cfg.process.clone();
     let (jobs_tx, jobs_rx) = mpsc::channel(MAX_CLAIM_JOBS);
     let entry = new_entry(cfg, jobs_tx);
     start_control(&entry, control, jobs_rx)?;
@@ -71,12 +71,12 @@
     wait_until_ready(&entry, &stop).await;
     let callers = bind(entry.cfg.listen, "listen").await?;
     let listen = entry.cfg.listen;
-    info!(target: PART, "{PART}: {} in {} listens on {listen}", upkeep.vm, upkeep.domain);
+    info!(target: PART, "{PART}: {} in {} listens on {listen}", process.vm, process.domain);
     let limits = ServerLimits {
-        max_connections: upkeep.max_connections,
-        header_timeout: upkeep.header_timeout,
-        max_header_bytes: upkeep.max_header,
-        drain_timeout: upkeep.drain_timeout,
+        max_connections: process.max_connections,
+        header_timeout: process.header_timeout,
+        max_header_bytes: process.max_header,
+        drain_timeout: process.drain_timeout,
     };
     let caller_entry = entry.clone();
     let caller_server = tokio::spawn(web::serve(callers, limits, closing, move |req| {
@@ -85,7 +85,7 @@
     let _ = stop.wait_for(|stopping| *stopping).await;
     info!(target: PART, "{PART}: stopping; draining requests in flight");
     entry.begin_stop();
-    tokio::time::sleep(upkeep.stop_notice).await;
+    tokio::time::sleep(process.stop_notice).await;
     let _ = close.send(true);
     let _ = caller_server.await;
     let _ = admin_server.await;
@@ -114,8 +114,8 @@
 }
 
 fn new_entry(cfg: EntryCfg, jobs: mpsc::Sender<ClaimJob>) -> Arc<Entry> {
-    let upkeep = cfg.upkeep.clone();
-    let kv = Kv::new(upkeep.platform.table, upkeep.platform.dial());
+    let process = cfg.process.clone();
+    let kv = Kv::new(process.platform.table, process.platform.dial_options());
     let batching = Batching {
         interval: cfg.claim_interval,
         max_batch: cfg.claim_batch as usize,
@@ -140,8 +140,8 @@
             }
         };
         Entry {
-            active_table: Arc::new(ActiveTable::new(upkeep.domains.clone())),
-            fleet: Fleet::new(upkeep.domain.clone()),
+            active_table: Arc::new(ActiveTable::new(process.domains.clone())),
+            fleet: Fleet::new(process.domain.clone()),
             limiter: Limiter::default(),
             queue: Queue::new(cfg.max_queue as usize),
             retry_budget: RetryBudget::new(cfg.retry_budget),
@@ -150,11 +150,11 @@
             client: Client::new(DialOptions {
                 timeout: cfg.connect_timeout,
                 keep_alive: true,
-                source: upkeep.source,
+                source: process.source,
             }),
             telemetry: Arc::new(Telemetry::new(burn_bounds)),
             control_traffic: Traffic::default(),
-            address_book: AddressBook::new(cfg.control_reached(), &cfg.entries),
+            address_book: AddressBook::new(cfg.advertised_control(), &cfg.entries),
             started_at: clock::now(),
             stopping: AtomicBool::new(false),
             cfg,
@@ -164,7 +164,7 @@
 
 /// Returns the entry that writes the claims of the whole failure domain; `None` if it is this one.
 fn claim_writer(entry: &Entry) -> Option<SocketAddr> {
-    let own = (rank(&[], &entry.cfg.upkeep.vm), None);
+    let own = (rank(&[], &entry.cfg.process.vm), None);
     entry
         .fleet
         .siblings()
@@ -195,11 +195,11 @@
 }
 
 fn start_polls(entry: &Arc<Entry>) {
-    let cfg = &entry.cfg.upkeep.platform;
-    let tables = Tables::new(Kv::new(cfg.table, cfg.dial()));
+    let cfg = &entry.cfg.process.platform;
+    let tables = Tables::new(Kv::new(cfg.table, cfg.dial_options()));
     tokio::spawn(poll::table(entry.clone(), tables));
     if let Some(addr) = cfg.members {
-        let members = Members::new(Kv::new(addr, cfg.dial()));
+        let members = Members::new(Kv::new(addr, cfg.dial_options()));
         tokio::spawn(poll::members(entry.clone(), members));
     }
     let gauge_entry = entry.clone();
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -69,8 +69,8 @@
     active: &'a ActiveEdition,
     request: &CallerRequest,
 ) -> Result<&'a Row, Refusal> {
-    let domains = &entry.cfg.upkeep.domains;
-    let domain = &entry.cfg.upkeep.domain;
+    let domains = &entry.cfg.process.domains;
+    let domain = &entry.cfg.process.domain;
     if entry.active_table.confirmation_age().is_none() {
         return Err(Refusal::NoTable);
     }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -33,8 +33,8 @@
     /// Logs.
     pub fn log(&self) -> &LogCfg {
         match self {
-            Settings::Entry(cfg) => &cfg.upkeep.log,
-            Settings::Agent(cfg) => &cfg.upkeep.log,
+            Settings::Entry(cfg) => &cfg.process.log,
+            Settings::Agent(cfg) => &cfg.process.log,
             Settings::Operator(cfg) => &cfg.log,
             Settings::Gateway(cfg) => &cfg.node.log,
             Settings::Loader(cfg) => &cfg.node.log,
@@ -60,9 +60,9 @@
 }
 
 /// Reads a file for a process that is to run by it, with the faults that it runs with, see
-/// [`check_to_run`].
-pub fn load_to_run(path: &Path) -> Result<(Settings, Vec<Fault>), Vec<Fault>> {
-    check_to_run(&read(path)?)
+/// [`check_with_defaults`].
+pub fn load_with_defaults(path: &Path) -> Result<(Settings, Vec<Fault>), Vec<Fault>> {
+    check_with_defaults(&read(path)?)
 }
 
 fn read(path: &Path) -> Result<String, Vec<Fault>> {
@@ -78,7 +78,7 @@
 
 /// Checks the text of a file; on failure, lists every fault.
 pub fn check(text: &str) -> Result<Settings, Vec<Fault>> {
-    let (settings, faults) = check_to_run(text)?;
+    let (settings, faults) = check_with_defaults(text)?;
     match faults.is_empty() {
         true => Ok(settings),
         false => Err(faults),
@@ -88,7 +88,7 @@
 /// The same for a process that is to run: a gateway or a loader gets its settings from the platform at each
 /// start, with nobody there to mend them, so a value that can't be used is replaced by the field's default,
 /// and its fault is handed on. Only without a field that has no default can't it run.
-pub fn check_to_run(text: &str) -> Result<(Settings, Vec<Fault>), Vec<Fault>> {
+pub fn check_with_defaults(text: &str) -> Result<(Settings, Vec<Fault>), Vec<Fault>> {
     let docs = MarkedYaml::load_from_str(text).map_err(|e| {
         vec![Fault::new(
             e.marker().line(),
@@ -117,7 +117,7 @@
     let last_line = text.lines().count();
     let missing = fields
         .iter()
-        .filter(|f| f.required() && !lines.contains_key(f.name));
+        .filter(|f| f.is_required() && !lines.contains_key(f.name));
     faults.extend(missing.map(|f| {
         let remedy = format!("the field is missing; add it ({})", f.doc);
         Fault::new(last_line, f.name, remedy)
@@ -146,7 +146,7 @@
 fn replaceable(role: Role, fields: &[&'static Field], fault: &Fault) -> Option<&'static Field> {
     let from_platform = matches!(role, Role::Gateway | Role::Loader);
     let field = fields.iter().find(|f| f.name == fault.field)?;
-    (from_platform && !field.required()).then_some(*field)
+    (from_platform && !field.is_required()).then_some(*field)
 }
 
 fn find_role(nodes: &[(String, usize, &MarkedYaml)]) -> Result<Role, Vec<Fault>> {
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -12,9 +12,9 @@
     /// An IP number and port.
     Addr,
     /// An IP number and port that may be left out.
-    MaybeAddr,
+    OptionalAddr,
     /// An IP number that may be left out.
-    MaybeIp,
+    OptionalIp,
     /// A list of IP numbers and ports; empty by default.
     Addrs,
     /// A list of names; `*` stands for all.
@@ -50,7 +50,7 @@
 
 impl Field {
     /// Whether a file must give it.
-    pub fn required(&self) -> bool {
+    pub fn is_required(&self) -> bool {
         matches!(self.kind, Kind::Name | Kind::Addr | Kind::Map(true))
     }
 }
@@ -61,8 +61,8 @@
             Kind::Name => f.write_str("name | required |"),
             Kind::Choice(words, default) => write!(f, "{} | {default} |", words.join(" or ")),
             Kind::Addr => f.write_str("IP number:port | required |"),
-            Kind::MaybeAddr => f.write_str("IP number:port | none |"),
-            Kind::MaybeIp => f.write_str("IP number | none |"),
+            Kind::OptionalAddr => f.write_str("IP number:port | none |"),
+            Kind::OptionalIp => f.write_str("IP number | none |"),
             Kind::Addrs => f.write_str("list of IP number:port | empty |"),
             Kind::Names("") => f.write_str("list of names | empty |"),
             Kind::Names(default) => write!(f, "list of names | [\"{default}\"] |"),
@@ -84,7 +84,7 @@
 }
 
 use Kind::{
-    Addr, Addrs, Bytes, Choice, Count, Duration, Flag, Map, MaybeAddr, MaybeIp, Name, Names,
+    Addr, Addrs, Bytes, Choice, Count, Duration, Flag, Map, Name, Names, OptionalAddr, OptionalIp,
 };
 
 /// Fields of every role.
@@ -141,7 +141,7 @@
     field("admin", Addr, "Metrics, health and readiness."),
     field(
         "source",
-        MaybeIp,
+        OptionalIp,
         "IP number that this VM's connections to others come from, where it has several.",
     ),
     field(
@@ -188,7 +188,7 @@
     field("control", Addr, "Where agents and other entries link to."),
     field(
         "control_advertised",
-        MaybeAddr,
+        OptionalAddr,
         "Where others reach `control`, if that is another address than it listens on.",
     ),
     field(
@@ -342,12 +342,12 @@
     field("peer", Addr, "Where other agents fetch chunks."),
     field(
         "listen_advertised",
-        MaybeAddr,
+        OptionalAddr,
         "Where entries reach `listen`, if that is another address than it listens on.",
     ),
     field(
         "peer_advertised",
-        MaybeAddr,
+        OptionalAddr,
         "Where other agents reach `peer`, if that is another address than it listens on.",
     ),
     field(
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod role;
 pub mod value;
 
-pub use check::{Settings, check, check_to_run, load, load_to_run};
+pub use check::{Settings, check, check_with_defaults, load, load_with_defaults};
 pub use field::{Field, Kind};
 pub use role::{
-    AgentCfg, EntryCfg, GatewayCfg, LoaderCfg, LogCfg, NodeCfg, OperatorCfg, PlatformCfg, Role,
-    Upkeep,
+    AgentCfg, EntryCfg, GatewayCfg, LoaderCfg, LogCfg, NodeCfg, OperatorCfg, PlatformCfg,
+    ProcessCfg, Role,
 };
--- a/crates/settings/src/role.rs
+++ b/crates/settings/src/role.rs
@@ -42,7 +42,7 @@
 
 impl PlatformCfg {
     /// How connections to the platform are made.
-    pub fn dial(&self) -> DialOptions {
+    pub fn dial_options(&self) -> DialOptions {
         DialOptions {
             timeout: self.timeout,
             keep_alive: true,
@@ -64,7 +64,7 @@
 
 /// What every process on a VM has.
 #[derive(Debug, Clone)]
-pub struct Upkeep {
+pub struct ProcessCfg {
     /// Id of the VM.
     pub vm: VmId,
     /// Failure domain.
@@ -118,7 +118,7 @@
 
 cfg! {
     /// Settings of an entry; [`crate::field::ENTRY`] says what each is for.
-    EntryCfg (upkeep: Upkeep) {
+    EntryCfg (process: ProcessCfg) {
         listen: SocketAddr = addr,
         control: SocketAddr = addr,
         control_advertised: Option<SocketAddr> = maybe_addr,
@@ -155,7 +155,7 @@
 
 cfg! {
     /// Settings of an agent; [`crate::field::AGENT`] says what each is for.
-    AgentCfg (upkeep: Upkeep) {
+    AgentCfg (process: ProcessCfg) {
         listen: SocketAddr = addr,
         listen_advertised: Option<SocketAddr> = maybe_addr,
         peer: SocketAddr = addr,
@@ -297,19 +297,19 @@
 
 impl EntryCfg {
     /// Where others reach the control address.
-    pub fn control_reached(&self) -> SocketAddr {
+    pub fn advertised_control(&self) -> SocketAddr {
         self.control_advertised.unwrap_or(self.control)
     }
 }
 
 impl AgentCfg {
     /// Where entries reach the agent.
-    pub fn listen_reached(&self) -> SocketAddr {
+    pub fn advertised_listen(&self) -> SocketAddr {
         self.listen_advertised.unwrap_or(self.listen)
     }
 
     /// Where peers reach the agent.
-    pub fn peer_reached(&self) -> SocketAddr {
+    pub fn advertised_peer(&self) -> SocketAddr {
         self.peer_advertised.unwrap_or(self.peer)
     }
 
@@ -339,9 +339,9 @@
     }
 }
 
-impl Upkeep {
-    fn new(values: &Values) -> Upkeep {
-        Upkeep {
+impl ProcessCfg {
+    fn new(values: &Values) -> ProcessCfg {
+        ProcessCfg {
             vm: text(values, "vm"),
             domain: text(values, "domain"),
             domains: domains(values),
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -41,7 +41,7 @@
     match kind {
         Kind::Name | Kind::Addr | Kind::Map(true) => None,
         Kind::Choice(_, word) => Some(Value::Text(word.to_owned())),
-        Kind::Addrs | Kind::MaybeAddr | Kind::MaybeIp => Some(Value::Addrs(Vec::new())),
+        Kind::Addrs | Kind::OptionalAddr | Kind::OptionalIp => Some(Value::Addrs(Vec::new())),
         Kind::Names("") => Some(Value::Names(Vec::new())),
         Kind::Names(name) => Some(Value::Names(vec![name.to_owned()])),
         Kind::Map(false) => Some(Value::Pairs(Vec::new())),
@@ -58,8 +58,8 @@
     match kind {
         Kind::Name => read_name(node).map(Value::Text),
         Kind::Choice(words, _) => read_choice(node, words),
-        Kind::MaybeIp => read_ip(node).map(|addr| Value::Addrs(vec![addr])),
-        Kind::Addr | Kind::MaybeAddr => read_addr(node).map(|addr| Value::Addrs(vec![addr])),
+        Kind::OptionalIp => read_ip(node).map(|addr| Value::Addrs(vec![addr])),
+        Kind::Addr | Kind::OptionalAddr => read_addr(node).map(|addr| Value::Addrs(vec![addr])),
         Kind::Addrs => items(node)?
             .iter()
             .map(read_addr)
--- a/crates/settings/tests/check.rs
+++ b/crates/settings/tests/check.rs
@@ -26,7 +26,7 @@
         panic!("an entry's settings");
     };
     assert_eq!(cfg.heartbeat.as_millis(), 1000);
-    assert_eq!(cfg.upkeep.max_body, 1 << 20);
+    assert_eq!(cfg.process.max_body, 1 << 20);
     assert!(cfg.check_places);
 }
 
@@ -115,7 +115,7 @@
 }
 
 fn gateway(text: &str) -> (settings::GatewayCfg, Vec<String>) {
-    let run = settings::check_to_run(text);
+    let run = settings::check_with_defaults(text);
     let (settings, faults) = run.unwrap_or_else(|e| panic!("{text}: {e:?}"));
     let Settings::Gateway(cfg) = settings else {
         panic!("a gateway's settings");
@@ -200,7 +200,7 @@
 fn a_gateway_does_not_run_without_an_address() {
     let text = gateway_file("retry_slack: 5\n").replace("store: 127.0.0.1:9000\n", "");
 
-    let faults = settings::check_to_run(&text).expect_err("no store");
+    let faults = settings::check_with_defaults(&text).expect_err("no store");
 
     let fields: Vec<&str> = faults.iter().map(|f| f.field.as_str()).collect();
     assert_eq!(fields, ["store"]);
