--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Holds a settings file against the declared fields.
+//! Validates a settings file against the declared fields.
 
 use std::path::Path;
 
@@ -11,26 +11,26 @@
 use crate::value::{self, Value, Values};
 use crate::{AgentCfg, EntryCfg, Field, GatewayCfg, LoaderCfg, LogCfg, OperatorCfg, Role};
 
-/// Largest settings file, in bytes.
-const MAX_FILE: u64 = 1 << 20;
+/// Maximum size of a settings file, in bytes.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// A checked settings file.
+/// A validated settings file.
 #[derive(Debug, Clone)]
 pub enum Settings {
-    /// Of an entry.
+    /// Settings of an entry.
     Entry(Box<EntryCfg>),
-    /// Of an agent.
+    /// Settings of an agent.
     Agent(Box<AgentCfg>),
-    /// Of an operator.
+    /// Settings of an operator.
     Operator(Box<OperatorCfg>),
-    /// Of a gateway.
+    /// Settings of a gateway.
     Gateway(Box<GatewayCfg>),
-    /// Of a loader.
+    /// Settings of a loader.
     Loader(Box<LoaderCfg>),
 }
 
 impl Settings {
-    /// Logs.
+    /// Returns the log settings.
     pub fn log(&self) -> &LogCfg {
         match self {
             Settings::Entry(cfg) => &cfg.process.log,
@@ -42,41 +42,41 @@
     }
 }
 
-/// All fields of a role.
+/// Returns all fields of a role.
 pub fn fields(role: Role) -> Vec<&'static Field> {
-    let own: &[&[Field]] = match role {
+    let groups: &[&[Field]] = match role {
         Role::Entry => &[COMMON, TABLE, PROCESS, ENTRY],
         Role::Agent => &[COMMON, TABLE, PROCESS, AGENT],
         Role::Operator => &[COMMON, TABLE, OPERATOR],
         Role::Gateway => &[COMMON, NODE, GATEWAY],
         Role::Loader => &[COMMON, NODE, LOADER],
     };
-    own.iter().flat_map(|list| list.iter()).collect()
+    groups.iter().flat_map(|group| group.iter()).collect()
 }
 
-/// Reads and checks a file; on failure, lists every fault.
+/// Reads and validates a file. On failure, returns every fault.
 pub fn load(path: &Path) -> Result<Settings, Vec<Fault>> {
     check(&read(path)?)
 }
 
-/// Reads a file for a process that is to run by it, with the faults that it runs with, see
-/// [`check_with_defaults`].
+/// Reads and validates a file, and replaces unusable values by defaults where [`check_with_defaults`]
+/// permits it. Returns the faults of the replaced values with the settings.
 pub fn load_with_defaults(path: &Path) -> Result<(Settings, Vec<Fault>), Vec<Fault>> {
     check_with_defaults(&read(path)?)
 }
 
 fn read(path: &Path) -> Result<String, Vec<Fault>> {
-    let whole = |remedy: String| vec![Fault::new(0, "file", remedy)];
-    let size = std::fs::metadata(path).map_err(|e| whole(format!("{e}; check the path")))?;
-    if size.len() > MAX_FILE {
-        return Err(whole(format!(
-            "the file is larger than {MAX_FILE} bytes; shorten it"
+    let file_fault = |remedy: String| vec![Fault::new(0, "file", remedy)];
+    let size = std::fs::metadata(path).map_err(|e| file_fault(format!("{e}; check the path")))?;
+    if size.len() > MAX_FILE_BYTES {
+        return Err(file_fault(format!(
+            "the file is larger than {MAX_FILE_BYTES} bytes; shorten it"
         )));
     }
-    std::fs::read_to_string(path).map_err(|e| whole(format!("{e}; write UTF-8 text")))
+    std::fs::read_to_string(path).map_err(|e| file_fault(format!("{e}; write UTF-8 text")))
 }
 
-/// Checks the text of a file; on failure, lists every fault.
+/// Validates the text of a file. On failure, returns every fault.
 pub fn check(text: &str) -> Result<Settings, Vec<Fault>> {
     let (settings, faults) = check_with_defaults(text)?;
     match faults.is_empty() {
@@ -85,9 +85,12 @@
     }
 }
 
-/// The same for a process that is to run: a gateway or a loader gets its settings from the platform at each
-/// start, with nobody there to mend them, so a value that can't be used is replaced by the field's default,
-/// and its fault is handed on. Only without a field that has no default can't it run.
+/// Validates the text of a file like [`check()`], but replaces the unusable values of a gateway or a loader
+/// by the fields' defaults and returns their faults with the settings.
+///
+/// The platform hands these processes their settings at each start, and no operator is there to correct
+/// them. A file that isn't a map of known fields, and a required field that is missing or unusable, still
+/// fail the validation.
 pub fn check_with_defaults(text: &str) -> Result<(Settings, Vec<Fault>), Vec<Fault>> {
     let docs = MarkedYaml::load_from_str(text).map_err(|e| {
         vec![Fault::new(
@@ -110,7 +113,7 @@
         .iter()
         .map(|(k, v)| (value::scalar(k).unwrap_or_default(), k.span.start.line(), v))
         .collect();
-    let role = find_role(&nodes)?;
+    let role = parse_role(&nodes)?;
     let fields = fields(role);
     let mut faults = Vec::new();
     let (mut values, lines) = read_values(&nodes, &fields, &mut faults);
@@ -122,10 +125,10 @@
         let remedy = format!("the field is missing; add it ({})", f.doc);
         Fault::new(last_line, f.name, remedy)
     }));
-    check_together(role, &values, &lines, &mut faults);
+    check_combinations(role, &values, &lines, &mut faults);
     faults.sort_by_key(|fault| fault.line);
     for fault in &faults {
-        let Some(field) = replaceable(role, &fields, fault) else {
+        let Some(field) = field_with_default(role, &fields, fault) else {
             return Err(faults);
         };
         if let Some(default) = value::default(field.kind) {
@@ -142,14 +145,18 @@
     Ok((settings, faults))
 }
 
-/// The field of a fault that a process can run with; `None` where it can't.
-fn replaceable(role: Role, fields: &[&'static Field], fault: &Fault) -> Option<&'static Field> {
+/// Returns the field of a fault whose value can be replaced by the default; `None` where the fault is fatal.
+fn field_with_default(
+    role: Role,
+    fields: &[&'static Field],
+    fault: &Fault,
+) -> Option<&'static Field> {
     let from_platform = matches!(role, Role::Gateway | Role::Loader);
     let field = fields.iter().find(|f| f.name == fault.field)?;
     (from_platform && !field.is_required()).then_some(*field)
 }
 
-fn find_role(nodes: &[(String, usize, &MarkedYaml)]) -> Result<Role, Vec<Fault>> {
+fn parse_role(nodes: &[(String, usize, &MarkedYaml)]) -> Result<Role, Vec<Fault>> {
     let remedy =
         "write `role: entry`, `role: agent`, `role: operator`, `role: gateway` or `role: loader`";
     let Some((_, line, node)) = nodes.iter().find(|(name, ..)| name == "role") else {
@@ -191,8 +198,8 @@
     (values, lines)
 }
 
-/// Faults that only several fields together show.
-fn check_together(
+/// Checks constraints between fields and between the items of a field.
+fn check_combinations(
     role: Role,
     values: &Values,
     lines: &Map<&'static str, usize>,
@@ -213,11 +220,14 @@
         let known = ["error", "warn", "info", "debug", "trace", "off"];
         let bad = levels.iter().filter(|(_, l)| !known.contains(&l.as_str()));
         faults.extend(bad.map(|(part, level)| {
-            let remedy = format!("{level:?} is no level for {part}; use {}", known.join(", "));
+            let remedy = format!(
+                "{level:?} is not a log level for {part}; use {}",
+                known.join(", ")
+            );
             Fault::new(line("log_levels"), "log_levels", remedy)
         }));
     }
-    let own: &[&str] = match role {
+    let listeners: &[&str] = match role {
         Role::Entry => &["listen", "control", "admin"],
         Role::Agent => &["listen", "peer", "admin"],
         Role::Operator => &[],
@@ -225,10 +235,11 @@
         Role::Loader => &["chunks", "metrics"],
     };
     let mut seen = Set::default();
-    for name in own {
+    for name in listeners {
         match values.get(name) {
             Some(Value::Addrs(addrs)) if !addrs.iter().all(|a| seen.insert(*a)) => {
-                let remedy = "the address is used twice in this file; give each its own port";
+                let remedy =
+                    "the address is used twice in this file; use a different port for each";
                 faults.push(Fault::new(line(name), *name, remedy));
             }
             _ => {}
--- a/crates/settings/src/field.rs
+++ b/crates/settings/src/field.rs
@@ -1,46 +1,46 @@
-//! Declarations of all fields.
+//! Declares the kinds of fields, and the fields of all roles but gateway and loader, see [`crate::node`].
 
 use std::fmt;
 
-/// What a field holds, with its default and range in the form they are written.
+/// Kind of a field's value, with its default and range as they are written in a file.
 #[derive(Debug, Clone, Copy)]
 pub enum Kind {
-    /// A name; required where the default is empty.
+    /// A required name.
     Name,
-    /// One of a few words.
+    /// One of a list of words: choices, default.
     Choice(&'static [&'static str], &'static str),
-    /// An IP number and port.
+    /// A required IP number and port.
     Addr,
-    /// An IP number and port that may be left out.
+    /// An optional IP number and port.
     OptionalAddr,
-    /// An IP number that may be left out.
+    /// An optional IP number.
     OptionalIp,
     /// A list of IP numbers and ports; empty by default.
     Addrs,
-    /// A list of names; `*` stands for all.
+    /// A list of names, in which `*` matches all, with its default; an empty default is the empty list.
     Names(&'static str),
-    /// A map of names to names.
+    /// A map of names to names, and whether it is required.
     Map(bool),
-    /// A duration: default, least, most.
+    /// A duration: default, minimum, maximum.
     Duration(&'static str, &'static str, &'static str),
-    /// A size in bytes: default, least, most.
+    /// A size in bytes: default, minimum, maximum.
     Bytes(&'static str, &'static str, &'static str),
-    /// A whole number: default, least, most.
+    /// A whole number: default, minimum, maximum.
     Count(u64, u64, u64),
-    /// A fraction: default, least, most.
+    /// A fraction: default, minimum, maximum.
     Ratio(f64, f64, f64),
-    /// `true` or `false`.
+    /// `true` or `false`, with its default.
     Flag(bool),
 }
 
-/// A field.
+/// Declaration of a field.
 #[derive(Debug, Clone, Copy)]
 pub struct Field {
     /// Name in the file.
     pub name: &'static str,
-    /// Kind.
+    /// Kind of the value.
     pub kind: Kind,
-    /// What it is for and when to change it.
+    /// Purpose of the field, and when to change it.
     pub doc: &'static str,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Field {
-    /// Whether a file must give it.
+    /// Returns whether a file must set the field.
     pub fn is_required(&self) -> bool {
         matches!(self.kind, Kind::Name | Kind::Addr | Kind::Map(true))
     }
@@ -68,15 +68,15 @@
             Kind::Names(default) => write!(f, "list of names | [\"{default}\"] |"),
             Kind::Map(true) => f.write_str("map of names | required |"),
             Kind::Map(false) => f.write_str("map of names | empty |"),
-            Kind::Duration(default, least, most) => {
-                write!(f, "duration | {default} | {least} to {most}")
+            Kind::Duration(default, min, max) => {
+                write!(f, "duration | {default} | {min} to {max}")
             }
-            Kind::Bytes(default, least, most) => write!(f, "size | {default} | {least} to {most}"),
-            Kind::Count(default, least, most) => {
-                write!(f, "whole number | {default} | {least} to {most}")
+            Kind::Bytes(default, min, max) => write!(f, "size | {default} | {min} to {max}"),
+            Kind::Count(default, min, max) => {
+                write!(f, "whole number | {default} | {min} to {max}")
             }
-            Kind::Ratio(default, least, most) => {
-                write!(f, "fraction | {default} | {least} to {most}")
+            Kind::Ratio(default, min, max) => {
+                write!(f, "fraction | {default} | {min} to {max}")
             }
             Kind::Flag(default) => write!(f, "true or false | {default} |"),
         }
@@ -114,7 +114,7 @@
     ),
 ];
 
-/// Fields of the roles that serve by a table of rows.
+/// Fields of the roles that are configured by the table in the platform: entries, agents and operators.
 pub const TABLE: &[Field] = &[
     field(
         "domains",
@@ -134,7 +134,7 @@
     ),
 ];
 
-/// Fields of the processes that run on VMs.
+/// Fields of entries and agents, which run on VMs.
 pub const PROCESS: &[Field] = &[
     field("vm", Name, "Id of this VM, as the platform lists it."),
     field("domain", Name, "Failure domain of this VM."),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! Settings files in YAML, one for each process.
+//! Parses and validates settings files in YAML, one for each process.
 //!
-//! Every field is declared once, with its kind, default, range and a sentence on when to change
-//! it ([`field`]). [`check`] holds a file against the declarations and lists every fault; the
-//! typed structs ([`EntryCfg`], [`AgentCfg`], [`OperatorCfg`]) are built from checked values only.
+//! Every field is declared once, with its kind, default, range and a description ([`field`], [`node`]).
+//! [`check()`] validates a file against the declarations and lists every fault. The typed structs
+//! ([`EntryCfg`], [`AgentCfg`], [`OperatorCfg`], [`GatewayCfg`], [`LoaderCfg`]) are built from validated
+//! values only.
 
 pub mod check;
 pub mod field;
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,10 +1,10 @@
-//! Declarations of the fields of gateways and loaders.
+//! Declares the fields of gateways and loaders.
 
 use crate::Field;
 use crate::field::Kind::{Addr, Addrs, Bytes, Count, Duration, Map, Name, Ratio};
 use crate::field::field;
 
-/// Fields of the roles that run by the configuration in the platform's store.
+/// Fields of gateways and loaders, which are configured by the platform's store.
 pub const NODE: &[Field] = &[
     field("vm", Name, "Id of this VM."),
     field("domain", Name, "Failure domain of this VM."),
--- a/crates/settings/src/role.rs
+++ b/crates/settings/src/role.rs
@@ -1,4 +1,4 @@
-//! Typed settings of each role, built from checked values.
+//! Typed settings of each role, built from validated values.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::value::{Value, Values};
 
-/// Process a settings file is for.
+/// Role that a settings file is written for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// `driftnotch entry`
@@ -23,10 +23,10 @@
     Loader,
 }
 
-/// Addresses of the platform.
+/// Addresses of the platform, and how to connect to them.
 #[derive(Debug, Clone)]
 pub struct PlatformCfg {
-    /// Table service.
+    /// Transactional table service.
     pub table: SocketAddr,
     /// Object store.
     pub objects: SocketAddr,
@@ -34,14 +34,14 @@
     pub members: Option<SocketAddr>,
     /// Origin of weights.
     pub origin: Option<SocketAddr>,
-    /// Longest wait for one answer.
+    /// Timeout of one call.
     pub timeout: Duration,
-    /// Address that connections come from.
+    /// Source address of connections.
     pub source: Option<IpAddr>,
 }
 
 impl PlatformCfg {
-    /// How connections to the platform are made.
+    /// Returns the options for connections to the platform.
     pub fn dial_options(&self) -> DialOptions {
         DialOptions {
             timeout: self.timeout,
@@ -51,18 +51,18 @@
     }
 }
 
-/// Logs.
+/// Log settings.
 #[derive(Debug, Clone)]
 pub struct LogCfg {
     /// Whether lines are JSON.
     pub json: bool,
-    /// Level of parts not named.
+    /// Level of the parts that `levels` doesn't name.
     pub level: String,
     /// Level by part.
     pub levels: Vec<(String, String)>,
 }
 
-/// What every process on a VM has.
+/// Settings that entries and agents share.
 #[derive(Debug, Clone)]
 pub struct ProcessCfg {
     /// Id of the VM.
@@ -71,27 +71,27 @@
     pub domain: DomainName,
     /// All failure domains.
     pub domains: Domains,
-    /// Admin address.
+    /// Listen address for metrics, health and readiness.
     pub admin: SocketAddr,
-    /// Address that connections come from.
+    /// Source address of connections.
     pub source: Option<IpAddr>,
-    /// Platform.
+    /// Connection settings of the platform.
     pub platform: PlatformCfg,
-    /// Longest drain at a planned stop.
+    /// Maximum time to wait for running requests at a planned stop.
     pub drain_timeout: Duration,
-    /// Time between saying that it leaves and closing.
+    /// Time between announcing a planned stop and closing the listeners.
     pub stop_notice: Duration,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Longest wait for a head.
+    /// Timeout for the head of a request.
     pub header_timeout: Duration,
-    /// Longest wait for a body.
+    /// Timeout for the body of a request.
     pub body_timeout: Duration,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header: usize,
-    /// Logs.
+    /// Log settings.
     pub log: LogCfg,
 }
 
@@ -100,7 +100,7 @@
         $(#[$doc])*
         #[derive(Debug, Clone)]
         pub struct $name {
-            /// What every process of this kind has.
+            /// Settings shared with other roles.
             pub $base: $base_ty,
             $(#[doc = concat!("Field `", stringify!($field), "`.")] pub $field: $ty,)*
         }
@@ -117,11 +117,11 @@
 }
 
 cfg! {
-    /// Settings of an entry; [`crate::field::ENTRY`] says what each is for.
+    /// Settings of an entry, described at [`crate::field::ENTRY`].
     EntryCfg (process: ProcessCfg) {
         listen: SocketAddr = addr,
         control: SocketAddr = addr,
-        control_advertised: Option<SocketAddr> = maybe_addr,
+        control_advertised: Option<SocketAddr> = optional_addr,
         entries: Vec<SocketAddr> = addrs,
         table_poll: Duration = duration,
         members_poll: Duration = duration,
@@ -154,12 +154,12 @@
 }
 
 cfg! {
-    /// Settings of an agent; [`crate::field::AGENT`] says what each is for.
+    /// Settings of an agent, described at [`crate::field::AGENT`].
     AgentCfg (process: ProcessCfg) {
         listen: SocketAddr = addr,
-        listen_advertised: Option<SocketAddr> = maybe_addr,
+        listen_advertised: Option<SocketAddr> = optional_addr,
         peer: SocketAddr = addr,
-        peer_advertised: Option<SocketAddr> = maybe_addr,
+        peer_advertised: Option<SocketAddr> = optional_addr,
         upstream: SocketAddr = addr,
         kind: String = text,
         entries: Vec<SocketAddr> = addrs,
@@ -187,28 +187,28 @@
     }
 }
 
-/// What every process that runs by the platform's store has.
+/// Settings that gateways and loaders share.
 #[derive(Debug, Clone)]
 pub struct NodeCfg {
     /// Id of the VM.
     pub vm: VmId,
     /// Failure domain.
     pub domain: DomainName,
-    /// Datagrams from other processes.
+    /// Listen address for datagrams from other processes.
     pub beacon: SocketAddr,
-    /// Metrics.
+    /// Listen address for metrics.
     pub metrics: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Longest wait for one answer of the store.
+    /// Timeout of one call of the store.
     pub store_timeout: Duration,
-    /// Gateways to ask while the store can't be reached.
+    /// Replica addresses of gateways, which are asked at start while the store is unreachable.
     pub seeds: Vec<SocketAddr>,
-    /// Time in which all engines are to hold a new version.
+    /// Time after a release in which all engines must have loaded the new version.
     pub version_time: Duration,
-    /// Time after a disturbance from when on a process is held to its bounds.
+    /// Time after a disturbance until the bounds of a process apply again.
     pub contact_time: Duration,
-    /// Logs.
+    /// Log settings.
     pub log: LogCfg,
 }
 
@@ -230,9 +230,9 @@
 }
 
 cfg! {
-    /// Settings of a gateway; [`crate::node::GATEWAY`] says what each is for.
+    /// Settings of a gateway, described at [`crate::node::GATEWAY`].
     GatewayCfg (node: NodeCfg) {
-        domains: Domains = domains_of,
+        domains: Domains = domains_in,
         listen: SocketAddr = addr,
         ready: SocketAddr = addr,
         copies: SocketAddr = addr,
@@ -254,7 +254,7 @@
 }
 
 cfg! {
-    /// Settings of a loader; [`crate::node::LOADER`] says what each is for.
+    /// Settings of a loader, described at [`crate::node::LOADER`].
     LoaderCfg (node: NodeCfg) {
         service: String = text,
         engine: SocketAddr = addr,
@@ -274,51 +274,51 @@
     }
 }
 
-/// Settings of an operator; [`crate::field::OPERATOR`] says what each is for.
+/// Settings of an operator, described at [`crate::field::OPERATOR`].
 #[derive(Debug, Clone)]
 pub struct OperatorCfg {
     /// Name under which edits are recorded.
     pub author: String,
     /// All failure domains.
     pub domains: Domains,
-    /// Platform.
+    /// Connection settings of the platform.
     pub platform: PlatformCfg,
     /// Admin addresses of entries.
     pub admins: Vec<SocketAddr>,
-    /// Requests in 1000 that must end `done`.
+    /// Requests in 1000 that must complete with the outcome `done`.
     pub objective_available: u64,
-    /// First tokens in 1000 that must come within their bound.
+    /// First tokens in 1000 that must arrive within the entries' `first_token_bound`.
     pub objective_first_token: u64,
-    /// Streams in 1000 that must keep the bound between tokens.
+    /// Streams in 1000 whose tokens must arrive within the entries' `token_bound`.
     pub objective_between_tokens: u64,
-    /// Logs.
+    /// Log settings.
     pub log: LogCfg,
 }
 
 impl EntryCfg {
-    /// Where others reach the control address.
+    /// Returns the address at which other processes reach `control`.
     pub fn advertised_control(&self) -> SocketAddr {
         self.control_advertised.unwrap_or(self.control)
     }
 }
 
 impl AgentCfg {
-    /// Where entries reach the agent.
+    /// Returns the address at which entries reach the agent.
     pub fn advertised_listen(&self) -> SocketAddr {
         self.listen_advertised.unwrap_or(self.listen)
     }
 
-    /// Where peers reach the agent.
+    /// Returns the address at which peers reach the agent.
     pub fn advertised_peer(&self) -> SocketAddr {
         self.peer_advertised.unwrap_or(self.peer)
     }
 
-    /// Whether the upstream is a model engine.
+    /// Returns whether the upstream is a model engine.
     pub fn is_engine(&self) -> bool {
         self.kind == "engine"
     }
 
-    /// Whether the upstream runs the model.
+    /// Returns whether the upstream runs the model.
     pub fn runs(&self, model: &str) -> bool {
         self.models.iter().any(|m| m == "*" || m == model)
     }
@@ -346,7 +346,7 @@
             domain: text(values, "domain"),
             domains: domains(values),
             admin: addr(values, "admin"),
-            source: maybe_ip(values, "source"),
+            source: optional_ip(values, "source"),
             platform: PlatformCfg::new(values),
             drain_timeout: duration(values, "drain_timeout"),
             stop_notice: duration(values, "stop_notice"),
@@ -362,16 +362,16 @@
 
 impl PlatformCfg {
     fn new(values: &Values) -> PlatformCfg {
-        let maybe = |name| values.contains_key(name).then(|| addr(values, name));
+        let addr_if_declared = |name| values.contains_key(name).then(|| addr(values, name));
         PlatformCfg {
             table: addr(values, "platform_table"),
             objects: addr(values, "platform_objects"),
-            members: maybe("platform_members"),
-            origin: maybe("platform_origin"),
+            members: addr_if_declared("platform_members"),
+            origin: addr_if_declared("platform_origin"),
             timeout: duration(values, "platform_timeout"),
             source: values
                 .get("source")
-                .and_then(|_| maybe_ip(values, "source")),
+                .and_then(|_| optional_ip(values, "source")),
         }
     }
 }
@@ -387,10 +387,10 @@
 }
 
 fn domains(values: &Values) -> Domains {
-    domains_of(values, "domains")
+    domains_in(values, "domains")
 }
 
-fn domains_of(values: &Values, field: &str) -> Domains {
+fn domains_in(values: &Values, field: &str) -> Domains {
     Domains::new(pairs(values, field))
 }
 
@@ -399,7 +399,7 @@
         fn $name(values: &Values, field: &str) -> $ty {
             match values.get(field) {
                 Some(Value::$variant(v)) => v.clone(),
-                other => unreachable!("field {field} was checked, yet holds {other:?}"),
+                other => unreachable!("field {field} passed validation with the value {other:?}"),
             }
         }
     };
@@ -418,10 +418,10 @@
     addrs(values, field)[0]
 }
 
-fn maybe_addr(values: &Values, field: &str) -> Option<SocketAddr> {
+fn optional_addr(values: &Values, field: &str) -> Option<SocketAddr> {
     addrs(values, field).first().copied()
 }
 
-fn maybe_ip(values: &Values, field: &str) -> Option<IpAddr> {
-    maybe_addr(values, field).map(|addr| addr.ip())
+fn optional_ip(values: &Values, field: &str) -> Option<IpAddr> {
+    optional_addr(values, field).map(|addr| addr.ip())
 }
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! Values of fields, checked against their kind.
+//! Parses the values of fields and validates them against their kind.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 
 use crate::Kind;
 
-/// A checked value.
+/// A validated value.
 #[derive(Debug, Clone)]
 pub enum Value {
-    /// A name or a chosen word.
+    /// A name or one word of a choice.
     Text(String),
-    /// Addresses; one for a single address.
+    /// Addresses; at most one for the kinds of a single address.
     Addrs(Vec<SocketAddr>),
     /// Names.
     Names(Vec<String>),
-    /// Names to names, in the order of the file.
+    /// Pairs of a map of names to names, in the order of the file.
     Pairs(Vec<(String, String)>),
     /// A duration.
     Duration(Duration),
@@ -33,10 +33,10 @@
 /// Values by field.
 pub type Values = Map<&'static str, Value>;
 
-/// Most entries of a list or map.
+/// Maximum number of items of a list or map.
 const MAX_ITEMS: usize = 10_000;
 
-/// The default of a kind; `None` where the field is required.
+/// Returns the default of a kind; `None` where the field is required.
 pub fn default(kind: Kind) -> Option<Value> {
     match kind {
         Kind::Name | Kind::Addr | Kind::Map(true) => None,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads a node as the kind; the error says what to write.
+/// Parses a node as the kind. The error says what to write instead.
 pub fn read(kind: Kind, node: &MarkedYaml) -> Result<Value, String> {
     match kind {
         Kind::Name => read_name(node).map(Value::Text),
@@ -71,10 +71,10 @@
             .collect::<Result<_, _>>()
             .map(Value::Names),
         Kind::Map(_) => read_pairs(node),
-        Kind::Duration(_, least, most) => read_duration(node, least, most),
-        Kind::Bytes(_, least, most) => read_bytes(node, least, most),
-        Kind::Count(_, least, most) => read_count(node, least, most),
-        Kind::Ratio(_, least, most) => read_ratio(node, least, most),
+        Kind::Duration(_, min, max) => read_duration(node, min, max),
+        Kind::Bytes(_, min, max) => read_bytes(node, min, max),
+        Kind::Count(_, min, max) => read_count(node, min, max),
+        Kind::Ratio(_, min, max) => read_ratio(node, min, max),
         Kind::Flag(_) => match scalar(node).as_deref() {
             Some("true") => Ok(Value::Flag(true)),
             Some("false") => Ok(Value::Flag(false)),
@@ -83,7 +83,7 @@
     }
 }
 
-/// The text of a scalar.
+/// Returns the text of a scalar; `None` for lists and maps.
 pub fn scalar(node: &MarkedYaml) -> Option<String> {
     match &node.data {
         YamlData::Value(Scalar::String(s)) => Some(s.to_string()),
@@ -107,9 +107,9 @@
 }
 
 fn read_name(node: &MarkedYaml) -> Result<String, String> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.*".contains(c);
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.*".contains(c);
     match scalar(node) {
-        Some(s) if !s.is_empty() && s.len() <= 64 && s.chars().all(plain) => Ok(s),
+        Some(s) if !s.is_empty() && s.len() <= 64 && s.chars().all(is_allowed) => Ok(s),
         _ => Err("write a name of 1 to 64 letters, digits, '-', '_' and '.'".into()),
     }
 }
@@ -119,7 +119,7 @@
         Some(s) if words.contains(&s.as_str()) => Ok(Value::Text(s)),
         Some(s) => {
             let hint = base::nearest::hint(&s, words.iter().copied());
-            Err(format!("{s:?} is none of {}{hint}", words.join(", ")))
+            Err(format!("{s:?} is not one of {}{hint}", words.join(", ")))
         }
         None => Err(format!("write one of {}", words.join(", "))),
     }
@@ -128,15 +128,15 @@
 fn read_addr(node: &MarkedYaml) -> Result<SocketAddr, String> {
     let s = scalar(node).ok_or("write an IP number and port, as 127.0.0.1:8080")?;
     s.parse()
-        .map_err(|_| format!("{s:?} is no IP number and port; write it as 127.0.0.1:8080"))
+        .map_err(|_| format!("{s:?} is not an IP number and port; write it as 127.0.0.1:8080"))
 }
 
-/// An IP number, as an address with no port.
+/// Parses an IP number into an address with port 0.
 fn read_ip(node: &MarkedYaml) -> Result<SocketAddr, String> {
     let s = scalar(node).ok_or("write an IP number, as 127.0.0.1")?;
     s.parse()
         .map(|ip| SocketAddr::new(ip, 0))
-        .map_err(|_| format!("{s:?} is no IP number; write it as 127.0.0.1"))
+        .map_err(|_| format!("{s:?} is not an IP number; write it as 127.0.0.1"))
 }
 
 fn read_pairs(node: &MarkedYaml) -> Result<Value, String> {
@@ -153,46 +153,45 @@
         .map(Value::Pairs)
 }
 
-fn read_duration(node: &MarkedYaml, least: &str, most: &str) -> Result<Value, String> {
-    let s = scalar(node).ok_or_else(|| format!("write a duration from {least} to {most}"))?;
+fn read_duration(node: &MarkedYaml, min: &str, max: &str) -> Result<Value, String> {
+    let s = scalar(node).ok_or_else(|| format!("write a duration from {min} to {max}"))?;
     let d = parse_duration(&s).map_err(|e| e.to_string())?;
-    let within =
-        parse_duration(least).is_ok_and(|l| d >= l) && parse_duration(most).is_ok_and(|m| d <= m);
-    match within {
+    let in_range =
+        parse_duration(min).is_ok_and(|l| d >= l) && parse_duration(max).is_ok_and(|m| d <= m);
+    match in_range {
         true => Ok(Value::Duration(d)),
         false => Err(format!(
-            "{} is out of range; write {least} to {most}",
+            "{} is out of range; write {min} to {max}",
             format_duration(d)
         )),
     }
 }
 
-fn read_bytes(node: &MarkedYaml, least: &str, most: &str) -> Result<Value, String> {
-    let s = scalar(node).ok_or_else(|| format!("write a size from {least} to {most}"))?;
+fn read_bytes(node: &MarkedYaml, min: &str, max: &str) -> Result<Value, String> {
+    let s = scalar(node).ok_or_else(|| format!("write a size from {min} to {max}"))?;
     let n = parse_bytes(&s).map_err(|e| e.to_string())?;
-    let within =
-        parse_bytes(least).is_ok_and(|l| n >= l) && parse_bytes(most).is_ok_and(|m| n <= m);
-    match within {
+    let in_range = parse_bytes(min).is_ok_and(|l| n >= l) && parse_bytes(max).is_ok_and(|m| n <= m);
+    match in_range {
         true => Ok(Value::Number(n)),
         false => Err(format!(
-            "{} is out of range; write {least} to {most}",
+            "{} is out of range; write {min} to {max}",
             format_bytes(n)
         )),
     }
 }
 
-fn read_count(node: &MarkedYaml, least: u64, most: u64) -> Result<Value, String> {
+fn read_count(node: &MarkedYaml, min: u64, max: u64) -> Result<Value, String> {
     match scalar(node).and_then(|s| s.parse::<u64>().ok()) {
-        Some(n) if (least..=most).contains(&n) => Ok(Value::Number(n)),
-        Some(n) => Err(format!("{n} is out of range; write {least} to {most}")),
-        None => Err(format!("write a whole number from {least} to {most}")),
+        Some(n) if (min..=max).contains(&n) => Ok(Value::Number(n)),
+        Some(n) => Err(format!("{n} is out of range; write {min} to {max}")),
+        None => Err(format!("write a whole number from {min} to {max}")),
     }
 }
 
-fn read_ratio(node: &MarkedYaml, least: f64, most: f64) -> Result<Value, String> {
+fn read_ratio(node: &MarkedYaml, min: f64, max: f64) -> Result<Value, String> {
     match scalar(node).and_then(|s| s.parse::<f64>().ok()) {
-        Some(x) if (least..=most).contains(&x) => Ok(Value::Ratio(x)),
-        Some(x) => Err(format!("{x} is out of range; write {least} to {most}")),
-        None => Err(format!("write a fraction from {least} to {most}")),
+        Some(x) if (min..=max).contains(&x) => Ok(Value::Ratio(x)),
+        Some(x) => Err(format!("{x} is out of range; write {min} to {max}")),
+        None => Err(format!("write a fraction from {min} to {max}")),
     }
 }
--- a/crates/settings/tests/check.rs
+++ b/crates/settings/tests/check.rs
@@ -1,9 +1,9 @@
-//! Settings files: every fault named at once, with its line and a remedy.
+//! Validation of settings files: all faults are reported together, each with its line and a remedy.
 
 use proptest::prelude::*;
 use settings::{Settings, check};
 
-fn entry_file(more: &str) -> String {
+fn entry_file(extra: &str) -> String {
     format!(
         "role: entry
 vm: recife-entry-1
@@ -15,12 +15,12 @@
 platform_table: 127.0.0.1:9000
 platform_objects: 127.0.0.1:9001
 platform_members: 127.0.0.1:9002
-{more}"
+{extra}"
     )
 }
 
 #[test]
-fn a_minimal_file_takes_the_declared_defaults() {
+fn applies_declared_defaults_to_a_minimal_file() {
     let settings = check(&entry_file("")).expect("no faults");
     let Settings::Entry(cfg) = settings else {
         panic!("an entry's settings");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn five_faults_are_all_named_with_line_field_and_remedy() {
+fn reports_all_faults_with_line_field_and_remedy() {
     let text = entry_file(
         "table_poll: soon
 max_atempts: 3
@@ -41,15 +41,15 @@
 ",
     );
     let faults = check(&text).expect_err("five faults");
-    let named: Vec<(usize, &str)> = faults.iter().map(|f| (f.line, f.field.as_str())).collect();
-    let wanted = [
+    let reported: Vec<(usize, &str)> = faults.iter().map(|f| (f.line, f.field.as_str())).collect();
+    let expected = [
         (11, "table_poll"),
         (12, "max_atempts"),
         (13, "max_running"),
         (14, "default_deadline"),
         (15, "check_places"),
     ];
-    assert_eq!(named, wanted);
+    assert_eq!(reported, expected);
     assert!(
         faults[1].remedy.contains("did you mean max_attempts?"),
         "{}",
@@ -64,19 +64,19 @@
 }
 
 #[test]
-fn missing_fields_and_faults_of_several_fields_are_named_too() {
+fn reports_missing_fields_and_invalid_combinations() {
     let text = entry_file("log_levels: {claims: loud}\n")
         .replace("domain: recife\n", "domain: recive\n")
         .replace("listen: 127.0.0.1:8080\n", "")
         .replace("admin: 127.0.0.1:8082", "admin: 127.0.0.1:8081");
     let faults = check(&text).expect_err("four faults");
-    let mut named: Vec<&str> = faults.iter().map(|f| f.field.as_str()).collect();
-    named.sort_unstable();
-    assert_eq!(named, ["admin", "domain", "listen", "log_levels"]);
+    let mut reported: Vec<&str> = faults.iter().map(|f| f.field.as_str()).collect();
+    reported.sort_unstable();
+    assert_eq!(reported, ["admin", "domain", "listen", "log_levels"]);
 }
 
 #[test]
-fn a_file_that_is_no_map_or_has_no_role_is_refused() {
+fn rejects_a_file_without_a_map_or_a_valid_role() {
     for text in ["", "- a\n", "role: boss\n", "vm: x\n", "role: [entry\n"] {
         assert!(check(text).is_err(), "{text:?}");
     }
@@ -86,12 +86,12 @@
     #![proptest_config(cases::cases(500))]
 
     #[test]
-    fn no_text_makes_the_check_panic(text in "(role: (entry|agent|operator)\n)?[ -~\n]{0,300}") {
+    fn does_not_panic_on_arbitrary_text(text in "(role: (entry|agent|operator)\n)?[ -~\n]{0,300}") {
         let _ = check(&text);
     }
 
     #[test]
-    fn no_value_of_a_field_makes_the_check_panic(
+    fn does_not_panic_on_arbitrary_field_values(
         name in "(table_poll|max_body|entries|domains|source|log_levels|check_places)",
         value in "[ -~]{0,60}",
     ) {
@@ -99,7 +99,7 @@
     }
 }
 
-fn gateway_file(more: &str) -> String {
+fn gateway_file(extra: &str) -> String {
     format!(
         "role: gateway
 vm: recife-front-1
@@ -110,7 +110,7 @@
 beacon: 127.0.0.1:8083
 metrics: 127.0.0.1:8084
 store: 127.0.0.1:9000
-{more}"
+{extra}"
     )
 }
 
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn numbers_of_the_platform_need_not_be_whole() {
+fn accepts_fractional_numbers_from_the_platform() {
     let text = gateway_file(
         "version_time: 10000.0ms
 config_time: 2500.75ms
@@ -145,8 +145,8 @@
     assert!((cfg.retry_slack - 34.421).abs() < 1e-9);
 }
 
-/// The numbers that the platform hands to a gateway, with their units.
-const GIVEN: [(&str, &str); 6] = [
+/// Numeric fields that the platform sets for a gateway, with their units.
+const PLATFORM_NUMBERS: [(&str, &str); 6] = [
     ("version_time", "ms"),
     ("config_time", "ms"),
     ("contact_time", "ms"),
@@ -156,8 +156,8 @@
 ];
 
 #[test]
-fn no_number_of_the_platform_keeps_a_gateway_from_running() {
-    let figures = [
+fn gateway_starts_with_any_number_from_the_platform() {
+    let numbers = [
         "",
         "0",
         "0.0",
@@ -171,22 +171,22 @@
         "x",
     ]
     .map(str::to_owned);
-    for (field, unit) in GIVEN {
-        for figure in &figures {
-            let text = gateway_file(&format!("{field}: {figure}{unit}\n"));
+    for (field, unit) in PLATFORM_NUMBERS {
+        for number in &numbers {
+            let text = gateway_file(&format!("{field}: {number}{unit}\n"));
             let (_, faults) = gateway(&text);
             let strict = check(&text).map(|_| ());
-            assert_eq!(strict.is_ok(), faults.is_empty(), "{field}: {figure}");
+            assert_eq!(strict.is_ok(), faults.is_empty(), "{field}: {number}");
             assert!(
                 faults.iter().all(|f| f == field),
-                "{field}: {figure}: {faults:?}"
+                "{field}: {number}: {faults:?}"
             );
         }
     }
 }
 
 #[test]
-fn a_value_that_cannot_be_used_is_replaced_by_the_default_and_told() {
+fn replaces_unusable_values_by_defaults_and_reports_them() {
     let text = gateway_file("retry_slack: much\nversion_time: 8s\nlog_levels: {gossip: loud}\n");
 
     let (cfg, faults) = gateway(&text);
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_gateway_does_not_run_without_an_address() {
+fn gateway_does_not_start_without_a_required_address() {
     let text = gateway_file("retry_slack: 5\n").replace("store: 127.0.0.1:9000\n", "");
 
     let faults = settings::check_with_defaults(&text).expect_err("no store");
