--- a/crates/cli/src/commands/agent.rs
+++ b/crates/cli/src/commands/agent.rs
@@ -1,4 +1,4 @@
-//! `driftnotch agent`
+//! `driftnotch agent`: runs an agent.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use super::process;
 use crate::error::Error;
 
-/// Runs an agent until it is stopped.
+/// Runs an agent until a stop signal.
 pub fn run(settings: &Path) -> Result<(), Error> {
     let Settings::Agent(cfg) = process::load(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "an agent"));
--- a/crates/cli/src/commands/burn.rs
+++ b/crates/cli/src/commands/burn.rs
@@ -1,4 +1,4 @@
-//! `driftnotch burn`
+//! `driftnotch burn`: reports the burn of the error budget.
 
 use burn::{EntryHistory, Objective, Objectives, Report};
 use settings::OperatorCfg;
@@ -8,22 +8,23 @@
 use crate::options::BurnOptions;
 use crate::output;
 
-/// Prints the service-level burn.
+/// Prints the burn of the error budget over all entries that respond.
 pub fn run(options: &BurnOptions) -> Result<(), Error> {
     let cfg = operator::load(&options.settings)?;
-    let answers = operator::runtime()?.block_on(operator::ask_all::<EntryHistory>(&cfg, "/burn"));
-    let silent: Vec<String> = answers
+    let responses =
+        operator::runtime()?.block_on(operator::get_from_all::<EntryHistory>(&cfg, "/burn"));
+    let unreachable: Vec<String> = responses
         .iter()
         .filter(|(_, history)| history.is_none())
         .map(|(addr, _)| addr.to_string())
         .collect();
-    let histories: Vec<EntryHistory> = answers.into_iter().filter_map(|(_, h)| h).collect();
+    let histories: Vec<EntryHistory> = responses.into_iter().filter_map(|(_, h)| h).collect();
     if histories.is_empty() {
         return Err(Error::NoEntry);
     }
-    if !silent.is_empty() {
-        let silent = silent.join(", ");
-        eprintln!("driftnotch: no answer from {silent}; their requests are left out");
+    if !unreachable.is_empty() {
+        let unreachable = unreachable.join(", ");
+        eprintln!("driftnotch: no response from {unreachable}; their requests are not counted");
     }
     let report = Report::new(&histories, &objectives(&cfg));
     match options.json {
@@ -42,7 +43,7 @@
 }
 
 fn print(report: &Report) -> Result<(), Error> {
-    let cells: Vec<Vec<String>> = report
+    let rows: Vec<Vec<String>> = report
         .lines
         .iter()
         .filter(|line| line.events > 0)
@@ -59,7 +60,7 @@
             ]
         })
         .collect();
-    let head = [
+    let header = [
         "by",
         "name",
         "objective",
@@ -69,5 +70,5 @@
         "burn 1h",
         "burn 6h",
     ];
-    output::columns(&head, &cells)
+    output::columns(&header, &rows)
 }
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `driftnotch check`
+//! `driftnotch check`: validates settings files and tables, and prints the fields of a role.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 use crate::output;
 
 #[derive(Serialize)]
-struct Checked<'a> {
+struct FileReport<'a> {
     file: &'a Path,
     faults: Vec<FaultRow>,
 }
@@ -24,7 +24,7 @@
     remedy: String,
 }
 
-/// Checks files and prints what is wrong with each.
+/// Validates files and prints the faults of each, or prints the fields of a role.
 pub fn run(options: &CheckOptions) -> Result<(), Error> {
     if let Some(role) = &options.fields {
         return print_fields(role);
@@ -52,6 +52,7 @@
     report(options, results)
 }
 
+/// Returns the failure domains that settings declare; `None` for roles that need no table.
 fn domains_of(settings: Settings) -> Option<Domains> {
     match settings {
         Settings::Entry(cfg) => Some(cfg.process.domains),
@@ -61,25 +62,27 @@
     }
 }
 
+/// Validates a table against the failure domains, and returns its faults.
 fn check_table(file: &Path, domains: Option<&Domains>) -> Result<Vec<Fault>, Error> {
     let Some(domains) = domains else {
-        let remedy = "give a faultless settings file with it, for the failure domains";
+        let remedy = "pass a valid settings file too, which declares the failure domains";
         return Ok(vec![Fault::new(0, "file", remedy)]);
     };
     let csv = std::fs::read_to_string(file).map_err(|e| Error::File(file.to_owned(), e))?;
     Ok(Table::parse(&csv, domains).err().unwrap_or_default())
 }
 
+/// Prints the faults of all files. Returns the first file that has any as an error.
 fn report(options: &CheckOptions, results: Vec<(&Path, Vec<Fault>)>) -> Result<(), Error> {
     if options.json {
-        let checked: Vec<Checked> = results
+        let reports: Vec<FileReport> = results
             .iter()
-            .map(|(file, faults)| Checked {
+            .map(|(file, faults)| FileReport {
                 file,
-                faults: faults.iter().map(row).collect(),
+                faults: faults.iter().map(fault_row).collect(),
             })
             .collect();
-        output::json(&checked)?;
+        output::json(&reports)?;
     }
     let mut failed = None;
     for (file, faults) in results {
@@ -98,7 +101,7 @@
     failed.map_or(Ok(()), Err)
 }
 
-fn row(fault: &Fault) -> FaultRow {
+fn fault_row(fault: &Fault) -> FaultRow {
     FaultRow {
         line: fault.line,
         field: fault.field.clone(),
@@ -106,6 +109,7 @@
     }
 }
 
+/// Prints the fields of a role as a Markdown table.
 fn print_fields(role: &str) -> Result<(), Error> {
     let role = match role {
         "entry" => Role::Entry,
--- a/crates/cli/src/commands/entry.rs
+++ b/crates/cli/src/commands/entry.rs
@@ -1,4 +1,4 @@
-//! `driftnotch entry`
+//! `driftnotch entry`: runs an entry.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use super::process;
 use crate::error::Error;
 
-/// Runs an entry until it is stopped.
+/// Runs an entry until a stop signal.
 pub fn run(settings: &Path) -> Result<(), Error> {
     let Settings::Entry(cfg) = process::load(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "an entry"));
--- a/crates/cli/src/commands/gateway.rs
+++ b/crates/cli/src/commands/gateway.rs
@@ -1,4 +1,4 @@
-//! `driftnotch gateway`
+//! `driftnotch gateway`: runs a gateway.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use super::process;
 use crate::error::Error;
 
-/// Runs a gateway until it is stopped.
+/// Runs a gateway until a stop signal.
 pub fn run(settings: &Path) -> Result<(), Error> {
     let (Settings::Gateway(cfg), faults) = process::load_with_defaults(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "a gateway"));
--- a/crates/cli/src/commands/loader.rs
+++ b/crates/cli/src/commands/loader.rs
@@ -1,4 +1,4 @@
-//! `driftnotch loader`
+//! `driftnotch loader`: runs a loader.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use super::process;
 use crate::error::Error;
 
-/// Runs a loader until it is stopped.
+/// Runs a loader until a stop signal.
 pub fn run(settings: &Path) -> Result<(), Error> {
     let (Settings::Loader(cfg), faults) = process::load_with_defaults(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "a loader"));
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Commands, a file each.
+//! Implementations of the commands, one module each, and what they share ([`operator`], [`process`]).
 
 pub mod agent;
 pub mod burn;
--- a/crates/cli/src/commands/operator.rs
+++ b/crates/cli/src/commands/operator.rs
@@ -1,4 +1,4 @@
-//! What the operators' commands share: settings, a runtime, and questions to the entries.
+//! Shared by the operators' commands: settings, a runtime, and requests to the entries' admin addresses.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,11 +14,11 @@
 use super::process;
 use crate::error::Error;
 
-/// Longest wait for an entry's answer.
-const ANSWER: Duration = Duration::from_secs(2);
+/// Timeout of a request to an entry.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest answer of an entry, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+/// Maximum size of an entry's response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Loads an operator's settings.
 pub fn load(path: &Path) -> Result<OperatorCfg, Error> {
@@ -28,7 +28,7 @@
     }
 }
 
-/// A runtime for one command.
+/// Builds a single-threaded runtime for one command.
 pub fn runtime() -> Result<Runtime, Error> {
     Builder::new_current_thread()
         .enable_all()
@@ -36,45 +36,48 @@
         .map_err(Error::Start)
 }
 
-/// The table's editions.
+/// Returns a client for the table's editions in the platform.
 pub fn tables(cfg: &OperatorCfg) -> Tables {
     Tables::new(Kv::new(cfg.platform.table, cfg.platform.dial_options()))
 }
 
-/// Asks an admin address; `None` where nobody answers.
-pub async fn ask(addr: SocketAddr, path: &str) -> Option<Vec<u8>> {
+/// Sends a GET request to an admin address; `None` on failure.
+pub async fn get(addr: SocketAddr, path: &str) -> Option<Vec<u8>> {
     let req = hyper::Request::builder()
         .uri(path)
         .body(web::empty())
         .ok()?;
-    let res = Client::new(DialOptions::with_timeout(ANSWER))
-        .send(addr, req, ANSWER)
+    let res = Client::new(DialOptions::with_timeout(ENTRY_TIMEOUT))
+        .send(addr, req, ENTRY_TIMEOUT)
+        .await
+        .ok()?;
+    let buf = read_body(res.into_body(), MAX_RESPONSE_BYTES, ENTRY_TIMEOUT)
         .await
         .ok()?;
-    let buf = read_body(res.into_body(), MAX_ANSWER, ANSWER).await.ok()?;
     Some(buf.to_vec())
 }
 
-/// Asks all entries at once; pairs each address with its answer, where it gives one.
-pub async fn ask_all<T: DeserializeOwned>(
+/// Sends a GET request to all entries concurrently. Returns each address with the decoded response,
+/// `None` on failure.
+pub async fn get_from_all<T: DeserializeOwned>(
     cfg: &OperatorCfg,
     path: &'static str,
 ) -> Vec<(SocketAddr, Option<T>)> {
-    let asked: Vec<_> = cfg
+    let requests: Vec<_> = cfg
         .admins
         .iter()
-        .map(|addr| (*addr, tokio::spawn(ask(*addr, path))))
+        .map(|addr| (*addr, tokio::spawn(get(*addr, path))))
         .collect();
-    let mut answers = Vec::new();
-    for (addr, answer) in asked {
-        let buf = answer.await.ok().flatten();
-        let answer = buf.and_then(|buf| serde_json::from_slice(&buf).ok());
-        answers.push((addr, answer));
+    let mut responses = Vec::new();
+    for (addr, request) in requests {
+        let buf = request.await.ok().flatten();
+        let response = buf.and_then(|buf| serde_json::from_slice(&buf).ok());
+        responses.push((addr, response));
     }
-    answers
+    responses
 }
 
-/// The state of all entries.
+/// Returns the status of all entries; `None` for those that don't respond.
 pub async fn statuses(cfg: &OperatorCfg) -> Vec<(SocketAddr, Option<Status>)> {
-    ask_all(cfg, "/status").await
+    get_from_all(cfg, "/status").await
 }
--- a/crates/cli/src/commands/process.rs
+++ b/crates/cli/src/commands/process.rs
@@ -1,4 +1,4 @@
-//! What the processes on VMs share: settings, logs, metrics, signals.
+//! Shared by the commands that run a process on a VM: settings, logs, metrics and signals.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -13,38 +13,39 @@
 use web::ServerLimits;
 
 use crate::error::{Error, FaultList};
-use crate::{logs, stop, usage};
+use crate::{logs, resources, signals};
 
 /// Log prefix of this part.
 const PART: &str = "settings";
 
-/// Upper bounds of the buckets of times, in seconds; the objective's bounds are among them.
-const SECONDS: [f64; 16] = [
+/// Upper bounds of the buckets of latency histograms, in seconds. The defaults of `token_bound` (0.045) and
+/// `first_token_bound` (1.7) are among them.
+const LATENCY_BUCKETS: [f64; 16] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.045, 0.1, 0.25, 0.5, 1.0, 1.7, 2.5, 5.0, 10.0, 30.0, 60.0,
 ];
 
-/// Time between two sums of what histograms were given: until then each sample takes memory, also where nobody
-/// reads the metrics.
-const SUM_INTERVAL: Duration = Duration::from_secs(5);
+/// Time between two aggregations of histogram samples. Until its aggregation each sample takes memory, also
+/// where no collector reads the metrics.
+const AGGREGATION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Renders the metrics.
+/// Function that renders the metrics in the Prometheus text format.
 pub type Render = Arc<dyn Fn() -> String + Send + Sync>;
 
-/// Loads settings.
+/// Loads and validates settings.
 pub fn load(path: &Path) -> Result<Settings, Error> {
     settings::load(path).map_err(|faults| Error::Faults(path.to_owned(), FaultList(faults)))
 }
 
-/// Loads the settings of a gateway or a loader, with the faults that it runs with.
+/// Loads the settings of a gateway or a loader, with the faults of the values that defaults replaced.
 pub fn load_with_defaults(path: &Path) -> Result<(Settings, FaultList), Error> {
     let (settings, faults) = settings::load_with_defaults(path)
         .map_err(|faults| Error::Faults(path.to_owned(), FaultList(faults)))?;
     Ok((settings, FaultList(faults)))
 }
 
-/// What a process runs with.
+/// Runtime environment of a process.
 pub struct Process {
-    /// Runtime.
+    /// Async runtime.
     pub runtime: Runtime,
     /// Turns true when a planned stop begins.
     pub stop: watch::Receiver<bool>,
@@ -52,20 +53,20 @@
     pub render: Render,
 }
 
-/// Starts logs, metrics, the runtime and the signal handlers.
+/// Starts the runtime, the logs to standard error, the metrics and the signal handlers.
 pub fn start(settings: &Path, log: &LogCfg) -> Result<Process, Error> {
     let runtime = Runtime::new().map_err(Error::Start)?;
-    start_on(runtime, logs::Target::Errors, settings, log)
+    start_on(runtime, logs::Target::Stderr, settings, log)
 }
 
-/// The same on one thread, with logs on standard output, and metrics served at an address. Logs the faults
-/// of the settings that were replaced by defaults.
+/// Starts the environment of a gateway or a loader: a single-threaded runtime, logs to standard output,
+/// and metrics served at `node.metrics`. Logs the faults of the values that defaults replaced.
 pub fn start_node(settings: &Path, node: &NodeCfg, faults: &FaultList) -> Result<Process, Error> {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(Error::Start)?;
-    let process = start_on(runtime, logs::Target::Output, settings, &node.log)?;
+    let process = start_on(runtime, logs::Target::Stdout, settings, &node.log)?;
     for fault in &faults.0 {
         warn!(target: PART, "{PART}: event=default_taken {fault}");
     }
@@ -94,24 +95,24 @@
 ) -> Result<Process, Error> {
     let handle = logs::start(log, target)?;
     let recorder = PrometheusBuilder::new()
-        .set_buckets_for_metric(Matcher::Suffix("_seconds".into()), &SECONDS)
+        .set_buckets_for_metric(Matcher::Suffix("_seconds".into()), &LATENCY_BUCKETS)
         .and_then(|builder| builder.install_recorder())
         .map_err(|e| Error::Logs(e.to_string()))?;
     let stop = runtime
-        .block_on(async { stop::follow(settings.to_owned(), handle, target) })
+        .block_on(async { signals::install(settings.to_owned(), handle, target) })
         .map_err(Error::Start)?;
-    let sums = recorder.clone();
+    let aggregator = recorder.clone();
     runtime.spawn(async move {
         loop {
-            tokio::time::sleep(SUM_INTERVAL).await;
-            sums.run_upkeep();
+            tokio::time::sleep(AGGREGATION_INTERVAL).await;
+            aggregator.run_upkeep();
         }
     });
     Ok(Process {
         runtime,
         stop,
         render: Arc::new(move || {
-            usage::measure();
+            resources::update_metrics();
             recorder.render()
         }),
     })
--- a/crates/cli/src/commands/publish.rs
+++ b/crates/cli/src/commands/publish.rs
@@ -1,4 +1,4 @@
-//! `driftnotch publish`
+//! `driftnotch publish`: uploads weights to the origin and their manifest to the object store.
 
 use std::fs::File;
 use std::io::{BufReader, Read};
@@ -16,7 +16,7 @@
 use crate::options::PublishOptions;
 use crate::output;
 
-/// Longest wait for one chunk to be written.
+/// Timeout for the upload of one chunk.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Serialize)]
@@ -26,21 +26,20 @@
     chunks: usize,
 }
 
-/// Publishes weights and prints their version.
+/// Uploads weights and prints their version.
 pub fn run(options: &PublishOptions) -> Result<(), Error> {
     let cfg = operator::load(&options.settings)?;
     let manifest =
         Manifest::from_reader(open(&options.file)?, options.chunk_bytes).map_err(Error::Weights)?;
     let version = manifest.digest();
     let kv = Kv::new(cfg.platform.objects, cfg.platform.dial_options());
-    let origin = cfg
-        .platform
-        .origin
-        .ok_or_else(|| Error::Usage("the settings name no origin; add `platform_origin`".into()))?;
+    let origin = cfg.platform.origin.ok_or_else(|| {
+        Error::Usage("the origin is missing in the settings; add `platform_origin`".into())
+    })?;
     let origin = Origin::new(origin, DialOptions::with_timeout(CHUNK_TIMEOUT));
     operator::runtime()?.block_on(async {
-        send_chunks(&origin, &manifest, open(&options.file)?, &options.file).await?;
-        // The manifest goes last: whoever finds it finds all of the weights.
+        upload_chunks(&origin, &manifest, open(&options.file)?, &options.file).await?;
+        // The manifest is written last: once it can be read, all chunks are at the origin.
         Objects::new(kv).publish(&manifest).await?;
         Ok::<_, Error>(())
     })?;
@@ -55,7 +54,8 @@
     }
 }
 
-async fn send_chunks(
+/// Uploads all chunks of a file. Fails if the file no longer matches the manifest.
+async fn upload_chunks(
     origin: &Origin,
     manifest: &Manifest,
     mut src: impl Read,
@@ -68,7 +68,7 @@
         src.read_exact(&mut buf)
             .map_err(|e| Error::File(path.to_owned(), e))?;
         if Digest::of(&buf) != *chunk {
-            let changed = std::io::Error::other("it changed while it was read");
+            let changed = std::io::Error::other("the file changed during the upload");
             return Err(Error::File(path.to_owned(), changed));
         }
         origin.publish(version, first, buf.into()).await?;
--- a/crates/cli/src/commands/status.rs
+++ b/crates/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `driftnotch status`
+//! `driftnotch status`: shows the state of entries, upstreams and rollouts.
 
 use entry::admin::Status;
 
@@ -7,7 +7,7 @@
 use crate::options::StatusOptions;
 use crate::output;
 
-/// Prints who is up and how far each rollout is.
+/// Prints the state of entries and upstreams, and the progress of each rollout.
 pub fn run(options: &StatusOptions) -> Result<(), Error> {
     let cfg = operator::load(&options.settings)?;
     let statuses = operator::runtime()?.block_on(operator::statuses(&cfg));
@@ -30,7 +30,7 @@
             Some(s) => vec![
                 s.vm.clone(),
                 s.domain.clone(),
-                state(s.leaving),
+                state_name(s.leaving),
                 s.revision.to_string(),
                 s.waiting.to_string(),
                 s.upstreams.len().to_string(),
@@ -38,7 +38,7 @@
             None => vec![
                 addr.to_string(),
                 "?".into(),
-                "no answer".into(),
+                "no response".into(),
                 "?".into(),
                 "?".into(),
                 "?".into(),
@@ -65,6 +65,7 @@
     )
 }
 
+/// Returns a row for each version of each upstream, sorted, without duplicates.
 fn upstream_rows(statuses: &[(std::net::SocketAddr, Option<Status>)]) -> Vec<Vec<String>> {
     let mut rows = Vec::new();
     for status in statuses.iter().filter_map(|(_, s)| s.as_ref()) {
@@ -78,7 +79,7 @@
                 rows.push(vec![
                     u.vm.clone(),
                     status.domain.clone(),
-                    state(u.leaving),
+                    state_name(u.leaving),
                     u.revision.to_string(),
                     h.model.clone(),
                     version,
@@ -92,7 +93,7 @@
     rows
 }
 
-fn state(leaving: bool) -> String {
+fn state_name(leaving: bool) -> String {
     match leaving {
         true => "leaving".into(),
         false => "up".into(),
--- a/crates/cli/src/commands/table.rs
+++ b/crates/cli/src/commands/table.rs
@@ -1,4 +1,4 @@
-//! `driftnotch table`
+//! `driftnotch table`: shows and edits the table of models and places.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,26 +16,30 @@
 use crate::options::{TableAction, TableOptions};
 use crate::output;
 
-/// Start of the line that names the edition a file was made from.
-const REVISION_LINE: &str = "# revision:";
+/// Prefix of the first line of a file, which names the revision that the file is based on.
+const REVISION_PREFIX: &str = "# revision:";
 
-/// Time between two looks at where an edition is in force.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which `apply --wait` polls where an edition is in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Output of `table apply --json`.
 #[derive(Serialize)]
 struct Applied {
     revision: u64,
     edit: String,
     changes: Vec<String>,
-    in_force: Option<Vec<DomainForce>>,
+    /// State of each failure domain; `None` without `--wait`.
+    in_force: Option<Vec<DomainStatus>>,
 }
 
+/// Output of `table plan --json`.
 #[derive(Serialize)]
 struct Planned {
     revision: u64,
     changes: Vec<String>,
 }
 
+/// Item of the output of `table history --json`.
 #[derive(Serialize)]
 struct HistoryRow {
     revision: u64,
@@ -44,26 +48,29 @@
     rows: usize,
 }
 
+/// Output of `table status --json`.
 #[derive(Serialize)]
 struct TableStatus {
-    /// Revision in the platform's table; `None` where it can't be read.
+    /// Newest revision in the platform; `None` where it can't be read.
     revision: Option<u64>,
-    domains: Vec<DomainForce>,
+    domains: Vec<DomainStatus>,
 }
 
-/// Where an edition is in force, in one failure domain.
+/// Whether an edition is in force in a failure domain.
 #[derive(Debug, Clone, Serialize)]
-struct DomainForce {
+struct DomainStatus {
     domain: String,
     entries: usize,
     upstreams: usize,
+    /// Lowest revision that an entry or upstream serves by.
     lowest: Option<u64>,
     in_force: bool,
+    /// Time since the revision of an entry came into force, the minimum over all entries.
     since_ms: Option<u64>,
     note: String,
 }
 
-/// Does what was asked with the table.
+/// Runs a command of `table`.
 pub fn run(options: &TableOptions) -> Result<(), Error> {
     let cfg = operator::load(&options.settings)?;
     let runtime = operator::runtime()?;
@@ -90,7 +97,7 @@
     match json {
         true => output::json(&edition),
         false => {
-            output::line(format!("{REVISION_LINE} {}", edition.revision))?;
+            output::line(format!("{REVISION_PREFIX} {}", edition.revision))?;
             output::line(edition.csv.trim_end())
         }
     }
@@ -102,7 +109,7 @@
     let changes = changes(cfg, &current.edition, &table)?;
     let planned = Planned {
         revision: current.edition.revision,
-        changes: in_words(&changes),
+        changes: describe(&changes),
     };
     match json {
         true => output::json(&planned),
@@ -118,7 +125,7 @@
     json: bool,
 ) -> Result<(), Error> {
     let (text, table) = read_table(cfg, file)?;
-    let base = base.or_else(|| revision_line(&text));
+    let base = base.or_else(|| base_revision(&text));
     let current = current(cfg).await?;
     if let Some(base) = base.filter(|base| *base != current.edition.revision) {
         return Err(conflict(cfg, base).await);
@@ -136,47 +143,48 @@
         Err(PlatformError::Conflict) => return Err(conflict(cfg, current.edition.revision).await),
         Err(e) => return Err(e.into()),
     };
-    if revision_line(&text).is_some() {
+    if base_revision(&text).is_some() {
         rewrite_revision(file, &text, edition.revision)?;
     }
     if !json {
-        print_changes(current.edition.revision, &in_words(&changes))?;
+        print_changes(current.edition.revision, &describe(&changes))?;
         output::line(format!("accepted as revision {}", edition.revision))?;
     }
     let in_force = match wait {
-        Some(wait) => Some(wait_in_force(cfg, edition.revision, wait, json).await?),
+        Some(wait) => Some(wait_until_in_force(cfg, edition.revision, wait, json).await?),
         None => None,
     };
     if json {
         output::json(&Applied {
             revision: edition.revision,
             edit: edition.edit,
-            changes: in_words(&changes),
+            changes: describe(&changes),
             in_force,
         })?;
     }
     Ok(())
 }
 
-async fn wait_in_force(
+/// Polls the entries until a revision is in force in all failure domains; an error once `wait` has passed.
+async fn wait_until_in_force(
     cfg: &OperatorCfg,
     revision: u64,
     wait: Duration,
     json: bool,
-) -> Result<Vec<DomainForce>, Error> {
-    let begun = Instant::now();
+) -> Result<Vec<DomainStatus>, Error> {
+    let started = Instant::now();
     loop {
-        let domains = force_by_domain(cfg, Some(revision), None).await;
+        let domains = domain_statuses(cfg, Some(revision), None).await;
         if domains.iter().all(|d| d.in_force) {
             if !json {
                 output::line(format!(
                     "in force in all failure domains after {} ms",
-                    begun.elapsed().as_millis()
+                    started.elapsed().as_millis()
                 ))?;
             }
             return Ok(domains);
         }
-        if begun.elapsed() > wait {
+        if started.elapsed() > wait {
             let missing: Vec<String> = domains
                 .iter()
                 .filter(|d| !d.in_force)
@@ -187,7 +195,7 @@
                 missing.join("\n  ")
             )));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -226,7 +234,7 @@
 async fn status(cfg: &OperatorCfg, json: bool) -> Result<(), Error> {
     let current = current(cfg).await.ok();
     let revision = current.as_ref().map(|c| c.edition.revision);
-    let domains = force_by_domain(cfg, revision, current.as_ref()).await;
+    let domains = domain_statuses(cfg, revision, current.as_ref()).await;
     if json {
         return output::json(&TableStatus { revision, domains });
     }
@@ -256,39 +264,41 @@
     output::columns(&["domain", "in force", "lowest", "for", "note"], &cells)
 }
 
-/// Where a revision is in force. A failure domain counts only if entries of it answer and all of
-/// them, and all their upstreams, serve by it.
-async fn force_by_domain(
+/// Returns the status of a revision in each failure domain. It is in force in a domain only if at least one
+/// entry of the domain responds, and all that respond, and all their upstreams, serve by it.
+async fn domain_statuses(
     cfg: &OperatorCfg,
     revision: Option<u64>,
     current: Option<&Current>,
-) -> Vec<DomainForce> {
+) -> Vec<DomainStatus> {
     let mut by_domain: BTreeMap<String, Vec<Status>> = cfg
         .domains
         .names()
         .map(|d| (d.clone(), Vec::new()))
         .collect();
-    let mut silent = 0;
+    let mut absent = 0;
     for (_, status) in operator::statuses(cfg).await {
         match status {
             Some(s) => by_domain.entry(s.domain.clone()).or_default().push(s),
-            None => silent += 1,
+            None => absent += 1,
         }
     }
     let hold = current.and_then(|c| longest_hold(cfg, &c.edition));
     by_domain
         .into_iter()
-        .map(|(domain, entries)| domain_force(domain, &entries, revision, silent, hold.as_deref()))
+        .map(|(domain, entries)| domain_status(domain, &entries, revision, absent, hold.as_deref()))
         .collect()
 }
 
-fn domain_force(
+/// Returns the status of a revision in a failure domain. `absent` counts the entries of all domains that don't
+/// respond.
+fn domain_status(
     domain: String,
     entries: &[Status],
     revision: Option<u64>,
-    silent: usize,
+    absent: usize,
     hold: Option<&str>,
-) -> DomainForce {
+) -> DomainStatus {
     let upstreams = entries.iter().flat_map(|e| &e.upstreams);
     let revisions = entries
         .iter()
@@ -302,14 +312,16 @@
     let note = match (entries.is_empty(), in_force) {
         (true, _) => {
             let hold = hold.unwrap_or("not known");
-            format!("no entry answers; it may go on by an old revision (longest hold: {hold})")
+            format!(
+                "no entry responds; the domain may still serve by an old revision (longest hold: {hold})"
+            )
         }
         (false, false) if revision.is_none() => "the newest revision is not known".into(),
         (false, false) => "some VMs still serve by an older revision".into(),
-        (false, true) if silent > 0 => format!("{silent} configured entries give no answer"),
+        (false, true) if absent > 0 => format!("{absent} configured entries don't respond"),
         (false, true) => String::new(),
     };
-    DomainForce {
+    DomainStatus {
         domain,
         entries: entries.len(),
         upstreams: upstreams.count(),
@@ -320,7 +332,8 @@
     }
 }
 
-/// The longest hold of an edition's rows, for the operator of a domain that gives no answer.
+/// Returns the longest hold of an edition's rows: how long a failure domain that doesn't respond may serve
+/// by it.
 fn longest_hold(cfg: &OperatorCfg, edition: &Edition) -> Option<String> {
     let table = Table::parse(&edition.csv, &cfg.domains).ok()?;
     let longest = table
@@ -334,13 +347,15 @@
     longest.map(|hold| hold.to_string())
 }
 
+/// Returns the newest edition in the platform.
 async fn current(cfg: &OperatorCfg) -> Result<Current, Error> {
     let current = operator::tables(cfg).current(None).await?;
-    Ok(current.expect("asked without a tag"))
+    Ok(current.expect("a read without a tag returns the edition"))
 }
 
+/// Returns the error for an edit that is based on an older revision, with the changes since then.
 async fn conflict(cfg: &OperatorCfg, base: u64) -> Error {
-    let Ok(now) = current(cfg).await else {
+    let Ok(latest) = current(cfg).await else {
         return Error::Platform(PlatformError::Conflict);
     };
     let before = operator::tables(cfg).revision(base).await.ok().flatten();
@@ -348,33 +363,38 @@
         0 => Some(Edition::initial()),
         _ => before,
     };
-    let words = before.map_or(String::new(), |before| {
-        let read = |e: &Edition| Table::parse(&e.csv, &cfg.domains).unwrap_or_default();
-        let changes = diff(&read(&before), &read(&now.edition));
-        in_words(&changes)
+    let changes = before.map_or(String::new(), |before| {
+        let parse = |e: &Edition| Table::parse(&e.csv, &cfg.domains).unwrap_or_default();
+        let changes = diff(&parse(&before), &parse(&latest.edition));
+        describe(&changes)
             .iter()
             .map(|c| format!("\n  {c}"))
             .collect()
     });
-    Error::Conflict(now.edition.revision, now.edition.author, words)
+    Error::Conflict(latest.edition.revision, latest.edition.author, changes)
 }
 
+/// Returns the changes from an edition to a table.
 fn changes(cfg: &OperatorCfg, edition: &Edition, table: &Table) -> Result<Vec<Change>, Error> {
     let before = Table::parse(&edition.csv, &cfg.domains)
         .map_err(|faults| Error::Faults("the edition in force".into(), FaultList(faults)))?;
     Ok(diff(&before, table))
 }
 
-fn in_words(changes: &[Change]) -> Vec<String> {
-    let word = |c: &Change| match c.narrows() {
+/// Describes changes in words, one string per change.
+fn describe(changes: &[Change]) -> Vec<String> {
+    let describe_one = |c: &Change| match c.narrows() {
         true => {
-            format!("{c} (narrows: in force where a place is cut off only when its hold runs out)")
+            format!(
+                "{c} (narrows: in a place that is cut off, in force only once its hold expires)"
+            )
         }
         false => c.to_string(),
     };
-    changes.iter().map(word).collect()
+    changes.iter().map(describe_one).collect()
 }
 
+/// Prints the changes to a revision.
 fn print_changes(revision: u64, changes: &[String]) -> Result<(), Error> {
     match changes.len() {
         0 => output::line(format!("nothing to change at revision {revision}"))?,
@@ -385,6 +405,7 @@
         .try_for_each(|c| output::line(format!("  {c}")))
 }
 
+/// Reads and validates a table's file; returns its text too.
 fn read_table(cfg: &OperatorCfg, file: &Path) -> Result<(String, Table), Error> {
     let text = std::fs::read_to_string(file).map_err(|e| Error::File(file.to_owned(), e))?;
     let table = Table::parse(&text, &cfg.domains)
@@ -392,14 +413,15 @@
     Ok((text, table))
 }
 
-fn revision_line(text: &str) -> Option<u64> {
-    let rest = text.lines().next()?.strip_prefix(REVISION_LINE)?;
+/// Returns the revision that the first line of a file names.
+fn base_revision(text: &str) -> Option<u64> {
+    let rest = text.lines().next()?.strip_prefix(REVISION_PREFIX)?;
     rest.trim().parse().ok()
 }
 
-/// Writes the new revision into the file's first line, so that the next edit starts from it.
+/// Writes the new revision into the first line of the file, as the base of the next edit.
 fn rewrite_revision(file: &Path, text: &str, revision: u64) -> Result<(), Error> {
     let rest = text.split_once('\n').map_or("", |(_, rest)| rest);
-    let text = format!("{REVISION_LINE} {revision}\n{rest}");
+    let text = format!("{REVISION_PREFIX} {revision}\n{rest}");
     std::fs::write(file, text).map_err(|e| Error::File(file.to_owned(), e))
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a command, and its exit code.
+//! Errors of commands, with their exit codes.
 
 use std::path::PathBuf;
 
@@ -6,18 +6,18 @@
 use store::PlatformError;
 use table::Fault;
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Display)]
 pub enum Error {
     /// {0}
     Usage(String),
-    /// {0} has faults; mend each and run again:{1}
+    /// {0} has faults; correct each and run again:{1}
     Faults(PathBuf, FaultList),
-    /// {0} is for another role; give the settings of {1}
+    /// {0} is for another role; pass the settings of {1}
     WrongRole(PathBuf, &'static str),
     /// {0} can't be read or written ({1}); check the path and its permissions
     File(PathBuf, std::io::Error),
-    /// the table was edited meanwhile: revision {0} by {1} is in force; get the table, merge and apply again. What changed:{2}
+    /// the table was edited concurrently: revision {0} by {1} is in force; get the table, merge and apply again. Changes:{2}
     Conflict(u64, String, String),
     /// {0}
     Platform(PlatformError),
@@ -27,7 +27,7 @@
     Entry(entry::EntryError),
     /// {0}
     Agent(agent::AgentError),
-    /// the process can't listen or has failed ({0}); check the addresses in the settings
+    /// the process can't listen or failed ({0}); check the addresses in the settings
     Node(std::io::Error),
     /// the process can't start ({0}); free memory or descriptors
     Start(std::io::Error),
@@ -35,13 +35,13 @@
     Logs(String),
     /// {0}
     NotInForce(String),
-    /// no entry answers; check `admins` in the settings and that the entries run
+    /// no entry responded; check `admins` in the settings and that the entries run
     NoEntry,
 }
 
 impl std::error::Error for Error {}
 
-/// Faults, one on a line.
+/// Faults, printed one per line.
 #[derive(Debug)]
 pub struct FaultList(pub Vec<Fault>);
 
@@ -52,7 +52,7 @@
 }
 
 impl Error {
-    /// 1 refused or failed, 2 wrong usage or settings, 3 conflict with another edit.
+    /// Returns the exit code: 1 refused or failed, 2 wrong usage or settings, 3 conflict with another edit.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::Usage(_) | Error::Faults(..) | Error::WrongRole(..) => 2,
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -1,9 +1,9 @@
-//! Help texts.
+//! Help texts of the commands.
 
-/// What help is asked for.
+/// Topic of a help text.
 #[derive(Debug, Clone, Copy)]
 pub enum Topic {
-    /// The whole command.
+    /// `driftnotch` itself
     All,
     /// `entry`
     Entry,
@@ -26,8 +26,8 @@
 }
 
 impl Topic {
-    /// The topic of a command.
-    pub fn named(name: &str) -> Option<Topic> {
+    /// Returns the topic of a command.
+    pub fn from_command(name: &str) -> Option<Topic> {
         match name {
             "entry" => Some(Topic::Entry),
             "agent" => Some(Topic::Agent),
@@ -43,7 +43,7 @@
     }
 }
 
-/// The text of a topic.
+/// Returns the text of a topic.
 pub fn text(topic: Topic) -> &'static str {
     match topic {
         Topic::All => ALL,
@@ -65,61 +65,63 @@
 Usage: driftnotch COMMAND [OPTIONS]
 
 On VMs:
-  entry     take callers' requests (entry VM)
-  agent     guard one upstream and hold its weights (upstream VM)
-  gateway   take callers' requests by the configuration in the platform's store (entry VM)
-  loader    bring released weights to the engine beside it (upstream VM)
+  entry     proxy callers' requests (entry VM)
+  agent     admit requests to one upstream and load its weights (upstream VM)
+  gateway   proxy callers' requests by the configuration in the platform's store (entry VM)
+  loader    load released weights into the engine on its VM (upstream VM)
 
 For operators:
   table     get, plan, apply, history, status: the table of models and places
-  publish   put a file of weights where agents find it; prints its version
-  check     check settings files and tables
-  status    who is up, and how far each rollout is
-  burn      how much of the error budget is used, and how fast
+  publish   upload a file of weights for the agents; prints its version
+  check     validate settings files and tables
+  status    show which processes are up, and the progress of each rollout
+  burn      show how much of the error budget is used, and how fast
 
-  -h, --help     this text, or that of a command
-  -V, --version  the version
+  -h, --help     print this text, or that of a command
+  -V, --version  print the version
 
 Exit codes: 0 done, 1 refused or failed, 2 wrong usage or settings, 3 conflict with another
 operator's edit.";
 
 const ENTRY: &str = "\
-Takes callers' requests and sends them to upstreams in permitted places.
+Proxies callers' requests to upstreams in permitted places.
 
 Usage: driftnotch entry --settings FILE
 
-SIGTERM stops as planned: running requests end first. A second one ends at once. SIGHUP reads the
-log settings again.
+SIGTERM begins a planned stop: running requests complete first. A second SIGTERM exits at once. SIGHUP
+reloads the log settings.
 
 Example: driftnotch entry --settings examples/entry.yaml";
 
 const AGENT: &str = "\
-Guards one upstream: lets requests in, holds and passes on weights, gives the engine its orders.
+Controls one upstream: admits requests, stores weights and serves them to peers, sends the engine its
+orders.
 
 Usage: driftnotch agent --settings FILE
 
-SIGTERM stops as planned: running requests end first. A second one ends at once. SIGHUP reads the
-log settings again.
+SIGTERM begins a planned stop: running requests complete first. A second SIGTERM exits at once. SIGHUP
+reloads the log settings.
 
 Example: driftnotch agent --settings examples/agent.yaml";
 
 const GATEWAY: &str = "\
-Takes callers' requests by the configuration in the platform's store, and sends them to engines and
-services directly.
+Proxies callers' requests directly to engines and services, by the configuration in the platform's
+store.
 
 Usage: driftnotch gateway --settings FILE
 
-SIGTERM stops as planned: readiness ends at once, connections are taken for `stop_notice` more, and
-running requests end first. A second one ends at once. SIGHUP reads the log settings again.
+SIGTERM begins a planned stop: readiness ends at once, connections are accepted for `stop_notice`
+longer, and running requests complete first. A second SIGTERM exits at once. SIGHUP reloads the log
+settings.
 
 Example: driftnotch gateway --settings examples/gateway.yaml";
 
 const LOADER: &str = "\
-Brings released weights to the engine beside it, and passes chunks on to other loaders.
+Loads released weights into the engine on its VM, and serves chunks to other loaders.
 
 Usage: driftnotch loader --settings FILE
 
-SIGTERM stops as planned. A second one ends at once. SIGHUP reads the log settings again.
+SIGTERM begins a planned stop. A second SIGTERM exits at once. SIGHUP reloads the log settings.
 
 Example: driftnotch loader --settings examples/loader.yaml";
 
@@ -133,9 +135,9 @@
        driftnotch table status  --settings FILE [--json]
 
 get      prints the edition in force (or revision N), with a `# revision: N` line
-plan     prints in plain words what the file would change
-apply    puts the file in force, if the edition it was made from (--base, or the file's
-         `# revision: N` line) still is in force; else exits with 3 and says what changed
+plan     prints what the file would change
+apply    puts the file in force if the edition that it is based on (--base, or the file's
+         `# revision: N` line) is still in force; otherwise exits with 3 and prints the changes since
 history  lists the last editions (20)
 status   prints where the edition is in force, since when, and what is not known
 
@@ -143,26 +145,26 @@
           driftnotch table apply --settings operator.yaml table.csv --wait 10s";
 
 const CHECK: &str = "\
-Checks settings files (.yaml) and tables (.csv) without starting anything; lists every fault.
+Validates settings files (.yaml) and tables (.csv) without starting a process; lists every fault.
 
 Usage: driftnotch check FILE... [--json]
        driftnotch check --fields entry|agent|operator|gateway|loader
 
-A table is checked against the failure domains of the first settings file given with it.
+A table is validated against the failure domains of the first settings file given with it.
 --fields prints the fields of a role with kind, default and range.
 
 Example: driftnotch check examples/operator.yaml examples/table.csv";
 
 const PUBLISH: &str = "\
-Puts a file of weights into the origin and its manifest into the object store; prints the version
-to write into the table.
+Uploads a file of weights to the origin and its manifest to the object store; prints the version to
+write into the table.
 
 Usage: driftnotch publish --settings FILE WEIGHTS [--chunk SIZE] [--json]
 
 Example: driftnotch publish --settings operator.yaml changelog.safetensors";
 
 const STATUS: &str = "\
-Shows the entries that answer, their upstreams, and how far each rollout is.
+Shows the entries that respond, their upstreams, and the progress of each rollout.
 
 Usage: driftnotch status --settings FILE [--json]
 
@@ -170,7 +172,7 @@
 
 const BURN: &str = "\
 Shows how much of the error budget of the last six hours is used, and how fast, by failure domain,
-row and workspace. A burn of 1 uses the budget up exactly within the six hours.
+row and workspace. A burn rate of 1 uses up exactly the whole budget in six hours.
 
 Usage: driftnotch burn --settings FILE [--json]
 
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,7 +1,7 @@
-//! Logs by `log4rs`, set up from checked settings; read again on SIGHUP.
+//! Configures `log4rs` from the log settings, which are reloaded on SIGHUP.
 //!
-//! Lines on standard output are written by a thread of their own from a bounded queue, so that a
-//! reader that is slow never holds a request up; lines that don't fit are counted and left out.
+//! Lines on standard output go through a bounded queue to a dedicated writer thread, so that a slow reader
+//! never delays a request. Lines that don't fit into the queue are dropped and counted.
 
 use std::io::{BufWriter, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,65 +19,69 @@
 
 use crate::error::Error;
 
-/// Time, level and message; messages start with the prefix of their part.
+/// Pattern of a text line: time, level and message. Messages start with the name of their part.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l:<5} {m}{n}";
 
-/// Lines that wait to be written; at some 300 bytes each, 1.2 MB.
-const QUEUE: usize = 4096;
+/// Capacity of the queue, in lines; at some 300 bytes per line, 1.2 MB.
+const QUEUE_LINES: usize = 4096;
 
-/// Where lines go.
+/// Destination of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// Standard error, at once.
-    Errors,
-    /// Standard output, through a queue.
-    Output,
+    /// Standard error, unbuffered.
+    Stderr,
+    /// Standard output, through the queue.
+    Stdout,
 }
 
-/// Sets logs up.
+/// Initializes the logs. The returned handle replaces their configuration.
 pub fn start(cfg: &LogCfg, target: Target) -> Result<log4rs::Handle, Error> {
     log4rs::init_config(config(cfg, target)?).map_err(|e| Error::Logs(e.to_string()))
 }
 
-/// The configuration of `log4rs` for the settings.
+/// Returns the configuration of `log4rs` for the settings.
 pub fn config(cfg: &LogCfg, target: Target) -> Result<Config, Error> {
     let encoder: Box<dyn Encode> = match cfg.json {
         true => Box::new(JsonEncoder::new()),
         false => Box::new(PatternEncoder::new(PATTERN)),
     };
     let appender: Box<dyn Append> = match target {
-        Target::Errors => {
+        Target::Stderr => {
             let appender = ConsoleAppender::builder().target(Console::Stderr);
             Box::new(appender.encoder(encoder).build())
         }
-        Target::Output => Box::new(Queued { encoder }),
+        Target::Stdout => Box::new(QueueAppender { encoder }),
     };
     let mut builder = Config::builder().appender(Appender::builder().build("lines", appender));
     for (part, level) in &cfg.levels {
-        builder = builder.logger(Logger::builder().build(part, filter(level)));
+        builder = builder.logger(Logger::builder().build(part, level_filter(level)));
     }
     builder
-        .build(Root::builder().appender("lines").build(filter(&cfg.level)))
+        .build(
+            Root::builder()
+                .appender("lines")
+                .build(level_filter(&cfg.level)),
+        )
         .map_err(|e| Error::Logs(e.to_string()))
 }
 
-fn filter(level: &str) -> LevelFilter {
+fn level_filter(level: &str) -> LevelFilter {
     level.parse().unwrap_or(LevelFilter::Info)
 }
 
-/// Puts lines into the queue.
+/// Appender that adds lines to the queue.
 #[derive(Debug)]
-struct Queued {
+struct QueueAppender {
     encoder: Box<dyn Encode>,
 }
 
-impl Append for Queued {
+impl Append for QueueAppender {
     fn append(&self, record: &Record) -> anyhow::Result<()> {
         let mut line = SimpleWriter(Vec::new());
         self.encoder.encode(&mut line, record)?;
         let queue = queue();
         if queue.tx.try_send(line.0).is_err() {
-            queue.left_out.fetch_add(1, Ordering::Relaxed);
+            queue.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
@@ -87,36 +91,37 @@
 
 struct Queue {
     tx: SyncSender<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
+    /// Lines dropped since the last report.
+    dropped: Arc<AtomicU64>,
 }
 
-/// The queue of the process; its writer starts with the first line.
+/// Returns the queue of the process, and starts its writer thread on the first call.
 fn queue() -> &'static Queue {
-    static QUEUED: OnceLock<Queue> = OnceLock::new();
-    QUEUED.get_or_init(|| {
-        let (tx, rx) = sync_channel(QUEUE);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let counted = left_out.clone();
-        std::thread::spawn(move || write(&rx, &counted));
-        Queue { tx, left_out }
+    static QUEUE: OnceLock<Queue> = OnceLock::new();
+    QUEUE.get_or_init(|| {
+        let (tx, rx) = sync_channel(QUEUE_LINES);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let counter = dropped.clone();
+        std::thread::spawn(move || write_lines(&rx, &counter));
+        Queue { tx, dropped }
     })
 }
 
-/// Writes lines until the process ends.
-fn write(rx: &Receiver<Vec<u8>>, left_out: &AtomicU64) {
+/// Writes queued lines until the process exits, and reports dropped lines.
+fn write_lines(rx: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut out = BufWriter::new(std::io::stdout());
     while let Ok(line) = rx.recv() {
-        let rest = std::iter::from_fn(|| rx.try_recv().ok());
+        let queued = std::iter::from_fn(|| rx.try_recv().ok());
         let mut written = out.write_all(&line);
-        for line in rest {
+        for line in queued {
             written = written.and_then(|()| out.write_all(&line));
         }
-        let lost = left_out.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            written = written.and_then(|()| writeln!(out, "logs: event=left_out lines={lost}"));
+        let count = dropped.swap(0, Ordering::Relaxed);
+        if count > 0 {
+            written = written.and_then(|()| writeln!(out, "logs: event=left_out lines={count}"));
         }
         if written.and_then(|()| out.flush()).is_err() {
-            // Nobody reads any more, and there is nowhere else to say so.
+            // Standard output is closed, and there is no other place to report it.
             return;
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `driftnotch`: one binary for entries, agents and operators.
+//! `driftnotch`: one binary for entries, agents, gateways, loaders and the operators' commands.
 
 mod commands;
 mod error;
@@ -6,8 +6,8 @@
 mod logs;
 mod options;
 mod output;
-mod stop;
-mod usage;
+mod resources;
+mod signals;
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line, read once into typed options.
+//! Parses the command line into typed options.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -9,18 +9,18 @@
 use crate::error::Error;
 use crate::help::Topic;
 
-/// Commands, for finding the nearest to a wrong one.
+/// All commands, for suggestions on a misspelt one.
 const COMMANDS: [&str; 9] = [
     "entry", "agent", "gateway", "loader", "table", "check", "publish", "status", "burn",
 ];
 
-/// Commands of `table`.
+/// All commands of `table`, for suggestions on a misspelt one.
 const TABLE_COMMANDS: [&str; 5] = ["get", "plan", "apply", "history", "status"];
 
-/// What to do.
+/// Parsed command line.
 #[derive(Debug)]
 pub struct Options {
-    /// Command.
+    /// Command to run.
     pub command: Command,
 }
 
@@ -31,23 +31,23 @@
     Help(Topic),
     /// Print the version.
     Version,
-    /// Run an entry by a settings file.
+    /// Run an entry with a settings file.
     Entry(PathBuf),
-    /// Run an agent by a settings file.
+    /// Run an agent with a settings file.
     Agent(PathBuf),
-    /// Run a gateway by a settings file.
+    /// Run a gateway with a settings file.
     Gateway(PathBuf),
-    /// Run a loader by a settings file.
+    /// Run a loader with a settings file.
     Loader(PathBuf),
-    /// Check files.
+    /// Validate settings files and tables.
     Check(CheckOptions),
-    /// Work on the table.
+    /// Show or edit the table.
     Table(TableOptions),
     /// Publish weights.
     Publish(PublishOptions),
-    /// Show who is up.
+    /// Show the state of entries, upstreams and rollouts.
     Status(StatusOptions),
-    /// Show the service-level burn.
+    /// Show the burn of the error budget.
     Burn(BurnOptions),
 }
 
@@ -58,38 +58,38 @@
     pub files: Vec<PathBuf>,
     /// Print JSON.
     pub json: bool,
-    /// Print the fields of a role instead.
+    /// Role whose fields are printed, instead of validating files.
     pub fields: Option<String>,
 }
 
 /// Options of `table`.
 #[derive(Debug)]
 pub struct TableOptions {
-    /// Operator's settings.
+    /// Settings file of the operator.
     pub settings: PathBuf,
     /// Print JSON.
     pub json: bool,
-    /// What to do with the table.
+    /// Command of `table`.
     pub action: TableAction,
 }
 
-/// What to do with the table.
+/// A command of `table` with its options.
 #[derive(Debug)]
 pub enum TableAction {
-    /// Print an edition.
+    /// Print an edition: that in force, or a revision.
     Get(Option<u64>),
     /// Print what a file would change.
     Plan(PathBuf),
     /// Put a file in force.
     Apply {
-        /// The file.
+        /// The table's CSV file.
         file: PathBuf,
-        /// Revision it was made from.
+        /// Revision that the file is based on.
         base: Option<u64>,
-        /// How long to wait until it is in force everywhere.
+        /// Maximum time to wait until the edition is in force everywhere.
         wait: Option<Duration>,
     },
-    /// List editions.
+    /// List the last editions, at most this many.
     History(u64),
     /// Print where the edition is in force.
     Status,
@@ -98,9 +98,9 @@
 /// Options of `publish`.
 #[derive(Debug)]
 pub struct PublishOptions {
-    /// Operator's settings.
+    /// Settings file of the operator.
     pub settings: PathBuf,
-    /// Weights.
+    /// File of weights.
     pub file: PathBuf,
     /// Size of a chunk, in bytes.
     pub chunk_bytes: u32,
@@ -111,7 +111,7 @@
 /// Options of `status`.
 #[derive(Debug)]
 pub struct StatusOptions {
-    /// Operator's settings.
+    /// Settings file of the operator.
     pub settings: PathBuf,
     /// Print JSON.
     pub json: bool,
@@ -120,14 +120,14 @@
 /// Options of `burn`.
 #[derive(Debug)]
 pub struct BurnOptions {
-    /// Operator's settings.
+    /// Settings file of the operator.
     pub settings: PathBuf,
     /// Print JSON.
     pub json: bool,
 }
 
 impl Options {
-    /// Reads the arguments.
+    /// Parses the arguments.
     pub fn parse(args: Vec<OsString>) -> Result<Options, Error> {
         let mut args = Arguments::from_vec(args);
         let help = args.contains(["-h", "--help"]);
@@ -135,7 +135,7 @@
             let command = Command::Version;
             return Ok(Options { command });
         }
-        let name = args.subcommand().map_err(usage)?;
+        let name = args.subcommand().map_err(usage_error)?;
         let command = match name.as_deref() {
             None => Command::Help(Topic::All),
             Some(name) if help => Command::Help(topic(name, &mut args)?),
@@ -154,7 +154,7 @@
                 json: args.contains("--json"),
                 settings: settings(&mut args)?,
             }),
-            Some(other) => return Err(unknown("command", other, &COMMANDS)),
+            Some(other) => return Err(unknown_name_error("command", other, &COMMANDS)),
         };
         finish(args)?;
         Ok(Options { command })
@@ -162,23 +162,28 @@
 }
 
 fn topic(name: &str, args: &mut Arguments) -> Result<Topic, Error> {
-    let topic = Topic::named(name).ok_or_else(|| unknown("command", name, &COMMANDS))?;
-    // `table apply --help` is help on `table`.
-    while args.opt_free_from_str::<String>().map_err(usage)?.is_some() {}
+    let topic =
+        Topic::from_command(name).ok_or_else(|| unknown_name_error("command", name, &COMMANDS))?;
+    // `table apply --help` prints the help of `table`: further arguments are ignored.
+    while args
+        .opt_free_from_str::<String>()
+        .map_err(usage_error)?
+        .is_some()
+    {}
     Ok(topic)
 }
 
 fn settings(args: &mut Arguments) -> Result<PathBuf, Error> {
     args.opt_value_from_str("--settings")
-        .map_err(usage)?
+        .map_err(usage_error)?
         .ok_or_else(|| Error::Usage("--settings FILE is missing; see --help".into()))
 }
 
 fn check(args: &mut Arguments) -> Result<CheckOptions, Error> {
     let json = args.contains("--json");
-    let fields: Option<String> = args.opt_value_from_str("--fields").map_err(usage)?;
+    let fields: Option<String> = args.opt_value_from_str("--fields").map_err(usage_error)?;
     let mut files = Vec::new();
-    while let Some(file) = free(args, "a settings file or a table")? {
+    while let Some(file) = positional(args, "a settings file or a table")? {
         files.push(PathBuf::from(file));
     }
     if files.is_empty() && fields.is_none() {
@@ -194,7 +199,7 @@
 }
 
 fn table(args: &mut Arguments) -> Result<TableOptions, Error> {
-    let action = args.subcommand().map_err(usage)?;
+    let action = args.subcommand().map_err(usage_error)?;
     let json = args.contains("--json");
     let settings = settings(args)?;
     let action = match action.as_deref() {
@@ -207,11 +212,11 @@
         },
         Some("history") => TableAction::History(number(args, "--last")?.unwrap_or(20)),
         Some("status") => TableAction::Status,
-        Some(other) => return Err(unknown("table command", other, &TABLE_COMMANDS)),
+        Some(other) => return Err(unknown_name_error("table command", other, &TABLE_COMMANDS)),
         None => {
             let all = TABLE_COMMANDS.join(", ");
             return Err(Error::Usage(format!(
-                "say what to do with the table: {all}"
+                "the command of `table` is missing; use {all}"
             )));
         }
     };
@@ -223,7 +228,7 @@
 }
 
 fn wait(args: &mut Arguments) -> Result<Option<Duration>, Error> {
-    let text: Option<String> = args.opt_value_from_str("--wait").map_err(usage)?;
+    let text: Option<String> = args.opt_value_from_str("--wait").map_err(usage_error)?;
     text.map(|s| base::units::parse_duration(&s))
         .transpose()
         .map_err(|e| Error::Usage(format!("--wait: {e}")))
@@ -232,7 +237,7 @@
 fn publish(args: &mut Arguments) -> Result<PublishOptions, Error> {
     let json = args.contains("--json");
     let settings = settings(args)?;
-    let chunk: Option<String> = args.opt_value_from_str("--chunk").map_err(usage)?;
+    let chunk: Option<String> = args.opt_value_from_str("--chunk").map_err(usage_error)?;
     let chunk_bytes = match chunk {
         None => weights::manifest::DEFAULT_CHUNK_BYTES,
         Some(s) => base::units::parse_bytes(&s)
@@ -241,7 +246,7 @@
             .map(|n| n as u32)
             .ok_or_else(|| Error::Usage(format!("--chunk {s}: write 1B to 1GiB, as 1MiB")))?,
     };
-    let file = free(args, "the file of weights")?
+    let file = positional(args, "the file of weights")?
         .ok_or_else(|| Error::Usage("name the file of weights; see --help".into()))?;
     Ok(PublishOptions {
         settings,
@@ -252,33 +257,37 @@
 }
 
 fn table_file(args: &mut Arguments) -> Result<PathBuf, Error> {
-    free(args, "the table's CSV file")?
+    positional(args, "the table's CSV file")?
         .map(PathBuf::from)
         .ok_or_else(|| Error::Usage("name the table's CSV file; see --help".into()))
 }
 
-/// A free argument; one that looks like an option is refused.
-fn free(args: &mut Arguments, what: &str) -> Result<Option<String>, Error> {
-    let free: Option<String> = args.opt_free_from_str().map_err(usage)?;
-    match free {
-        Some(s) if s.starts_with('-') => Err(unknown_option(&s, what)),
-        free => Ok(free),
+/// Takes the next positional argument; an error if it looks like an option.
+fn positional(args: &mut Arguments, what: &str) -> Result<Option<String>, Error> {
+    let arg: Option<String> = args.opt_free_from_str().map_err(usage_error)?;
+    match arg {
+        Some(s) if s.starts_with('-') => Err(unknown_option_error(&s, what)),
+        arg => Ok(arg),
     }
 }
 
 fn number(args: &mut Arguments, name: &'static str) -> Result<Option<u64>, Error> {
-    args.opt_value_from_str(name).map_err(usage)
+    args.opt_value_from_str(name).map_err(usage_error)
 }
 
+/// Returns an error if arguments are left over.
 fn finish(args: Arguments) -> Result<(), Error> {
-    let left = args.finish();
-    match left.first() {
+    let rest = args.finish();
+    match rest.first() {
         None => Ok(()),
-        Some(arg) => Err(unknown_option(&arg.to_string_lossy(), "nothing more")),
+        Some(arg) => Err(unknown_option_error(
+            &arg.to_string_lossy(),
+            "no more arguments",
+        )),
     }
 }
 
-/// Options of all commands, for finding the nearest to a wrong one.
+/// Options of all commands, for suggestions on a misspelt one.
 const OPTIONS: [&str; 10] = [
     "--settings",
     "--json",
@@ -292,15 +301,15 @@
     "--version",
 ];
 
-fn unknown_option(arg: &str, expected: &str) -> Error {
+fn unknown_option_error(arg: &str, expected: &str) -> Error {
     let name = arg.split('=').next().unwrap_or(arg);
     let hint = base::nearest::hint(name, OPTIONS);
     Error::Usage(format!(
-        "{arg:?} is not expected here, where {expected} is{hint}; see --help"
+        "{arg:?} is not valid here, expected {expected}{hint}; see --help"
     ))
 }
 
-fn unknown(what: &str, name: &str, known: &[&str]) -> Error {
+fn unknown_name_error(what: &str, name: &str, known: &[&str]) -> Error {
     let hint = base::nearest::hint(name, known.iter().copied());
     Error::Usage(format!(
         "there is no {what} {name:?}{hint}; use {}",
@@ -308,6 +317,6 @@
     ))
 }
 
-fn usage(e: pico_args::Error) -> Error {
+fn usage_error(e: pico_args::Error) -> Error {
     Error::Usage(format!("{e}; see --help"))
 }
--- a/crates/cli/src/stop.rs
+++ b/crates/cli/src/signals.rs
@@ -1,5 +1,5 @@
-//! Signals: SIGTERM and SIGINT stop as planned, a second one ends at once, SIGHUP reads the log
-//! settings again.
+//! Signal handling: SIGTERM and SIGINT begin a planned stop, a second one exits at once, SIGHUP reloads
+//! the log settings.
 
 use std::path::{Path, PathBuf};
 
@@ -12,11 +12,11 @@
 /// Log prefix of this part.
 const PART: &str = "signals";
 
-/// Exit code of a process that was ended at once.
-const ENDED: i32 = 1;
+/// Exit code after a second stop signal.
+const FORCED_EXIT_CODE: i32 = 1;
 
-/// Follows the signals; the receiver turns true when a planned stop begins.
-pub fn follow(
+/// Spawns the signal handlers. The returned receiver turns true when a planned stop begins.
+pub fn install(
     settings: PathBuf,
     handle: log4rs::Handle,
     target: logs::Target,
@@ -28,23 +28,25 @@
     tokio::spawn(async move {
         loop {
             tokio::select! {
-                _ = term.recv() => stop(&tx),
-                _ = int.recv() => stop(&tx),
-                _ = hup.recv() => reload(&settings, &handle, target),
+                _ = term.recv() => begin_stop(&tx),
+                _ = int.recv() => begin_stop(&tx),
+                _ = hup.recv() => reload_logs(&settings, &handle, target),
             }
         }
     });
     Ok(rx)
 }
 
-fn stop(tx: &watch::Sender<bool>) {
+/// Begins a planned stop, or exits if one has already begun.
+fn begin_stop(tx: &watch::Sender<bool>) {
     if tx.send_replace(true) {
         error!(target: PART, "{PART}: ended by a second signal; requests were cut off");
-        std::process::exit(ENDED);
+        std::process::exit(FORCED_EXIT_CODE);
     }
 }
 
-fn reload(settings: &Path, handle: &log4rs::Handle, target: logs::Target) {
+/// Reloads the log settings; on failure, leaves the logs unchanged.
+fn reload_logs(settings: &Path, handle: &log4rs::Handle, target: logs::Target) {
     let log = match settings::load_with_defaults(settings) {
         Ok((settings, _)) => settings.log().clone(),
         Err(faults) => {
