--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, its exit codes, and the example files.
+//! The command line: help, exit codes, validation of files, and the example files.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::driftnotch;
 
 fn run(args: &[&str]) -> Output {
-    driftnotch().args(args).output().expect("the binary runs")
+    driftnotch().args(args).output().expect("the binary starts")
 }
 
 fn stderr(out: &Output) -> String {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn help_of_every_command_has_usage_and_an_example() {
+fn prints_usage_and_an_example_in_the_help_of_every_command() {
     for name in [
         "entry", "agent", "gateway", "loader", "table", "check", "publish", "status", "burn",
     ] {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn wrong_usage_exits_with_2_and_names_the_nearest() {
+fn wrong_usage_exits_with_2_and_suggests_the_nearest_name() {
     let cases: [(&[&str], &str); 8] = [
         (&["entri"], "did you mean entry?"),
         (&["table", "aply", "--settings", "x"], "did you mean apply?"),
@@ -60,15 +60,15 @@
             "--chunk huge",
         ),
     ];
-    for (args, told) in cases {
+    for (args, message) in cases {
         let out = run(args);
         assert_eq!(out.status.code(), Some(2), "{args:?}: {}", stderr(&out));
-        assert!(stderr(&out).contains(told), "{args:?}: {}", stderr(&out));
+        assert!(stderr(&out).contains(message), "{args:?}: {}", stderr(&out));
     }
 }
 
 #[test]
-fn check_names_all_five_faults_of_a_file() {
+fn check_reports_all_faults_of_a_file() {
     let dir = tempfile::tempdir().expect("a directory");
     let file = dir.path().join("agent.yaml");
     let text = "role: agent\nvm: a b\ndomain: recife\ndomains: {recife: pernambuco}\nlisten: here\npeer: 127.0.0.1:1\nadmin: 127.0.0.1:2\nupstream: 127.0.0.1:3\nplatform_table: 127.0.0.1:4\nplatform_objects: 127.0.0.1:5\nplatform_origin: 127.0.0.1:7\nfetches: 0\nknd: engine\nchunk_memory: 5\n";
@@ -76,22 +76,22 @@
     let file = file.to_str().expect("a path");
     let out = run(&["check", file]);
     assert_eq!(out.status.code(), Some(2));
-    let told = stderr(&out);
-    let wanted = [
+    let reported = stderr(&out);
+    let expected = [
         "line 2: vm:",
         "line 5: listen:",
         "line 12: fetches:",
         "line 13: knd:",
         "line 14: chunk_memory:",
     ];
-    assert!(wanted.iter().all(|w| told.contains(w)), "{told}");
+    assert!(expected.iter().all(|e| reported.contains(e)), "{reported}");
     let json: serde_json::Value =
         serde_json::from_slice(&run(&["check", "--json", file]).stdout).expect("JSON");
     assert_eq!(json[0]["faults"].as_array().expect("a list").len(), 5);
 }
 
 #[test]
-fn a_process_with_faulty_settings_or_those_of_another_role_does_not_start() {
+fn process_does_not_start_with_invalid_settings_or_those_of_another_role() {
     let operator = root().join("examples/operator.yaml");
     let operator = operator.to_str().expect("a path");
     let wrong_role = run(&["entry", "--settings", operator]);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn all_examples_are_faultless() {
+fn check_accepts_all_examples() {
     for set in ["", "cajueiro", "chungbuk"] {
         let dir = root().join("examples").join(set);
         let files = std::fs::read_dir(&dir).expect("examples");
@@ -114,7 +114,7 @@
             files
                 .iter()
                 .any(|f| f.extension().is_some_and(|e| e == "csv")),
-            "{set} has a table"
+            "{set}: an example table"
         );
         let out = driftnotch()
             .arg("check")
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn the_deployments_are_of_the_size_they_are_for() {
+fn example_deployments_have_the_intended_number_of_vms() {
     for (set, kinds) in [
         ("cajueiro", [("model", 12), ("registry", 3), ("portal", 1)]),
         ("chungbuk", [("drafting", 12), ("ledger", 3), ("portal", 1)]),
@@ -151,12 +151,15 @@
 }
 
 #[test]
-fn the_settings_page_lists_every_field_as_it_is_declared() {
+fn settings_page_lists_every_field_as_declared() {
     let page = std::fs::read_to_string(root().join("docs/SETTINGS.md")).expect("the page");
     for role in ["entry", "agent", "operator", "gateway", "loader"] {
         let fields = stdout(&run(&["check", "--fields", role]));
         for line in fields.lines().skip(2) {
-            assert!(page.contains(line), "docs/SETTINGS.md lacks {line}");
+            assert!(
+                page.contains(line),
+                "docs/SETTINGS.md does not contain {line}"
+            );
         }
     }
 }
--- a/crates/cli/tests/fuzz.rs
+++ b/crates/cli/tests/fuzz.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use base::{Digest, Outcome};
-use common::{Sent, Shape, World, row, until};
+use common::{Cluster, ClusterSpec, Sent, row, wait_for};
 use lab::caller::Ask;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
@@ -108,7 +108,7 @@
 
 struct Sut {
     runtime: Runtime,
-    world: World,
+    cluster: Cluster,
     versions: [Digest; 2],
     asked: Vec<Ask>,
     pending: Vec<JoinHandle<Sent>>,
@@ -120,7 +120,10 @@
 
 impl Sut {
     fn send(&mut self, entry: usize, ask: Ask) {
-        let (client, to) = (self.world.client.clone(), self.world.entry(entry).listen);
+        let (client, to) = (
+            self.cluster.client.clone(),
+            self.cluster.entry(entry).listen,
+        );
         self.pending.push(self.runtime.spawn(async move {
             let reply = lab::caller::send(&client, to, &ask).await;
             Sent { ask, reply }
@@ -177,29 +180,29 @@
     }
 
     fn set_faults(&self, change: impl Fn(&mut Faults)) {
-        let mut faults = self.world.platform.table.faults.get();
+        let mut faults = self.cluster.platform.table.faults.get();
         change(&mut faults);
-        self.world.platform.table.faults.set(faults);
+        self.cluster.platform.table.faults.set(faults);
     }
 
     fn start_dead(&mut self) {
         for vm in std::mem::take(&mut self.dead) {
-            self.world.start_vm(&vm);
+            self.cluster.start_vm(&vm);
         }
     }
 
     fn thaw_frozen(&mut self) {
         for vm in std::mem::take(&mut self.frozen) {
-            self.world.signal(&vm, "CONT");
+            self.cluster.signal(&vm, "CONT");
         }
     }
 
     fn edit(&mut self, second: bool) {
         let version = self.versions[usize::from(second)];
-        let world = &self.world;
+        let cluster = &self.cluster;
         // Under a fault of the table an edit may fail; what then holds is the last accepted one.
         self.runtime.block_on(async {
-            let tables = world.tables();
+            let tables = cluster.tables();
             if let Ok(Some(current)) = tables.current(None).await {
                 let csv = common::csv(&[row(MODEL, version, "recife")]);
                 let _ = tables.apply(&current, csv, "fuzz").await;
@@ -217,26 +220,28 @@
 
     fn init_test(_: &Ups) -> Sut {
         let runtime = Runtime::new().expect("a runtime");
-        let (world, versions) = runtime.block_on(async {
+        let (cluster, versions) = runtime.block_on(async {
             let lines = vec![
                 "attempt_timeout: 1s".to_owned(),
                 "platform_timeout: 500ms".to_owned(),
             ];
-            let shape = Shape {
+            let spec = ClusterSpec {
                 entries: ENTRIES as u8,
                 engines: AGENTS as u8,
                 entry_lines: lines,
-                ..Shape::default()
+                ..ClusterSpec::default()
             };
-            let world = World::start(shape).await;
-            let versions = [world.publish(1, 200_000), world.publish(2, 200_000)];
-            world.apply(&[row(MODEL, versions[0], "recife")]).await;
-            world.ready(MODEL, &versions[0].to_string(), AGENTS).await;
-            (world, versions)
+            let cluster = Cluster::start(spec).await;
+            let versions = [cluster.publish(1, 200_000), cluster.publish(2, 200_000)];
+            cluster.apply(&[row(MODEL, versions[0], "recife")]).await;
+            cluster
+                .wait_ready(MODEL, &versions[0].to_string(), AGENTS)
+                .await;
+            (cluster, versions)
         });
         Sut {
             runtime,
-            world,
+            cluster,
             versions,
             asked: Vec::new(),
             pending: Vec::new(),
@@ -253,36 +258,36 @@
             Step::Resend(entry, n) => sut.resend(entry, n),
             Step::Settle => sut.settle(),
             Step::KillAgent(i) => {
-                sut.world.kill(&agent(i));
+                sut.cluster.kill(&agent(i));
                 sut.dead.push(agent(i));
             }
             Step::KillEntry(i) => {
-                sut.world.kill(&entry(i));
+                sut.cluster.kill(&entry(i));
                 sut.dead.push(entry(i));
             }
             Step::Start => sut.start_dead(),
             Step::Freeze(i) => {
-                sut.world.signal(&agent(i), "STOP");
+                sut.cluster.signal(&agent(i), "STOP");
                 sut.frozen.push(agent(i));
             }
             Step::Thaw => sut.thaw_frozen(),
-            Step::EmptyEngine(i) => sut.world.engines[&agent(i)].restart(),
+            Step::EmptyEngine(i) => sut.cluster.engines[&agent(i)].restart(),
             Step::TableDown(down) => sut.set_faults(|f| f.down = down),
             Step::LoseWrites(n) => sut.set_faults(|f| f.lose_writes = n),
             Step::DropWrites(n) => sut.set_faults(|f| f.drop_writes = n),
-            Step::CutPlatform(true) => sut.world.cut_platform(0),
-            Step::CutPlatform(false) => {
-                sut.world
-                    .board
-                    .set(sut.world.side(0), sut.world.platform_side(), LinkState::Up)
-            }
+            Step::CutPlatform(true) => sut.cluster.cut_platform(0),
+            Step::CutPlatform(false) => sut.cluster.board.set(
+                sut.cluster.side(0),
+                sut.cluster.platform_side(),
+                LinkState::Up,
+            ),
             Step::Edit(second) => sut.edit(second),
         }
         sut
     }
 
     fn check_invariants(sut: &Sut, _: &Ups) {
-        sut.world.check(&sut.sent);
+        sut.cluster.check_outcomes(&sut.sent);
     }
 
     /// Everything heals, all callers get their answers, and what they were told is held against
@@ -291,9 +296,9 @@
         sut.thaw_frozen();
         sut.start_dead();
         sut.set_faults(|f| *f = Faults::default());
-        sut.world.board.heal();
+        sut.cluster.board.heal();
         sut.settle();
-        sut.world.check(&sut.sent);
+        sut.cluster.check_outcomes(&sut.sent);
         let told = |o: Outcome| {
             sut.sent
                 .iter()
@@ -311,11 +316,11 @@
                 .filter(|s| s.reply.outcome.is_none())
                 .count(),
         );
-        let world = &sut.world;
+        let cluster = &sut.cluster;
         sut.runtime
-            .block_on(until("the healed deployment to serve", async || {
+            .block_on(wait_for("the healed deployment to serve", async || {
                 let ask = Ask::completion(MODEL, &format!("healed{:x}", rand::random::<u64>()));
-                world.send(0, &ask).await.reply.outcome == Some(Outcome::Done)
+                cluster.send(0, &ask).await.reply.outcome == Some(Outcome::Done)
             }));
     }
 }
--- a/crates/cli/tests/malformed.rs
+++ b/crates/cli/tests/malformed.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use base::Outcome;
-use common::{Shape, World, row};
+use common::{Cluster, ClusterSpec, row};
 use lab::caller::Ask;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::TestRunner;
@@ -45,7 +45,7 @@
     let _ = stream.write_all(input).await;
     let _ = stream.shutdown().await;
     let mut answer = Vec::new();
-    let read = tokio::time::timeout(common::PATIENCE, stream.read_to_end(&mut answer)).await;
+    let read = tokio::time::timeout(common::TIMEOUT, stream.read_to_end(&mut answer)).await;
     assert!(
         read.is_ok(),
         "no end to {:?}",
@@ -76,37 +76,41 @@
         "header_timeout: 500ms".to_owned(),
         "body_timeout: 500ms".to_owned(),
     ];
-    let shape = Shape {
+    let spec = ClusterSpec {
         entries: 1,
         engines: 1,
         entry_lines: lines.clone(),
         agent_lines: lines,
-        ..Shape::default()
+        ..ClusterSpec::default()
     };
-    let mut world = World::start(shape).await;
-    let version = world.publish(1, 100_000);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    world.ready(MODEL, &version.to_string(), 1).await;
-    let (entry, agent) = (world.entry(0), world.upstream(0));
+    let mut cluster = Cluster::start(spec).await;
+    let version = cluster.publish(1, 100_000);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_ready(MODEL, &version.to_string(), 1).await;
+    let (entry, agent) = (cluster.entry(0), cluster.upstream(0));
     let ports = [
         entry.listen,
-        world.layout.bound(entry.control),
-        world.layout.bound(agent.listen),
-        world.layout.bound(agent.peer),
+        cluster.layout.bound(entry.control),
+        cluster.layout.bound(agent.listen),
+        cluster.layout.bound(agent.peer),
     ];
     let mut all = inputs(INPUTS * ports.len());
     for (i, port) in ports.into_iter().enumerate() {
         let answered = feed_all(port, all.split_off(all.len() - INPUTS)).await;
         println!("{port}: {answered} of {INPUTS} were answered, the others closed");
-        let s = world
+        let s = cluster
             .send(0, &Ask::completion(MODEL, &format!("after{i}")))
             .await;
         assert_eq!(s.reply.outcome, Some(Outcome::Done), "{s:?}");
     }
     for vm in [entry.vm, agent.vm] {
-        assert!(!world.log(&vm).contains("panicked"), "{}", world.log(&vm));
-        world.signal(&vm, "TERM");
-        assert_eq!(world.ended(&vm).await, Some(0));
+        assert!(
+            !cluster.log(&vm).contains("panicked"),
+            "{}",
+            cluster.log(&vm)
+        );
+        cluster.signal(&vm, "TERM");
+        assert_eq!(cluster.wait_exit(&vm).await, Some(0));
     }
 }
 
@@ -117,21 +121,21 @@
         "body_timeout: 300ms".to_owned(),
         "max_body: 4KiB".to_owned(),
     ];
-    let world = World::start(Shape {
+    let cluster = Cluster::start(ClusterSpec {
         entry_lines: lines,
-        ..Shape::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let version = world.publish(1, 100_000);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    world.ready(MODEL, &version.to_string(), 2).await;
-    let to = world.entry(0).listen;
+    let version = cluster.publish(1, 100_000);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_ready(MODEL, &version.to_string(), 2).await;
+    let to = cluster.entry(0).listen;
     let mut slow_head = TcpStream::connect(to).await.expect("open");
     slow_head.write_all(b"POST /v1/compl").await.expect("sent");
     let mut slow_body = TcpStream::connect(to).await.expect("open");
     let head = b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{";
     slow_body.write_all(head).await.expect("sent");
-    let others = world.send(0, &Ask::completion(MODEL, "others")).await;
+    let others = cluster.send(0, &Ask::completion(MODEL, "others")).await;
     assert_eq!(others.reply.outcome, Some(Outcome::Done), "{others:?}");
     let read = async |mut stream: TcpStream| {
         let mut answer = vec![0; 4096];
@@ -150,21 +154,21 @@
         "{closed}"
     );
     let large = Ask::completion(MODEL, &"x".repeat(8000));
-    let s = world.send(0, &large).await;
+    let s = cluster.send(0, &large).await;
     assert_eq!(
         (s.reply.status, s.reply.code.as_str()),
         (413, "too_large"),
         "{s:?}"
     );
-    world.check(&[s, others]);
+    cluster.check_outcomes(&[s, others]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_requests_get_a_code_and_a_remedy() {
-    let world = World::start(Shape::default()).await;
-    let version = world.publish(1, 100_000);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    world.ready(MODEL, &version.to_string(), 2).await;
+    let cluster = Cluster::start(ClusterSpec::default()).await;
+    let version = cluster.publish(1, 100_000);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_ready(MODEL, &version.to_string(), 2).await;
     let cases = [
         ("/v1/other", "x-a: b", "{}", 404, "no_path"),
         ("/v1/completions", "x-a: b", "no json", 400, "malformed"),
@@ -212,9 +216,9 @@
             .header(name, value)
             .body(web::full(body))
             .expect("a request");
-        let res = world
+        let res = cluster
             .client
-            .send(world.entry(0).listen, req, common::PATIENCE)
+            .send(cluster.entry(0).listen, req, common::TIMEOUT)
             .await
             .expect("answered");
         assert_eq!(res.status().as_u16(), status, "{path} {head} {body}");
@@ -222,7 +226,7 @@
             web::header(res.headers(), base::header::OUTCOME),
             Some("not-run")
         );
-        let buf = web::read_body(res.into_body(), 1 << 20, common::PATIENCE)
+        let buf = web::read_body(res.into_body(), 1 << 20, common::TIMEOUT)
             .await
             .expect("a body");
         let json: serde_json::Value = serde_json::from_slice(&buf).expect("JSON");
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -1,61 +1,65 @@
-//! Signals: the log settings are read again, and a second stop ends at once.
+//! Signal handling: SIGHUP reloads the log settings, and a second SIGTERM exits at once.
 
 mod common;
 
 use base::Outcome;
-use common::{Shape, World, row, until};
+use common::{Cluster, ClusterSpec, row, wait_for};
 use lab::caller::Ask;
 
 const MODEL: &str = "changelog";
 
-async fn ready_world() -> World {
-    let shape = Shape {
+async fn ready_cluster() -> Cluster {
+    let spec = ClusterSpec {
         engines: 1,
         agent_lines: vec!["stop_notice: 20s".to_owned()],
-        ..Shape::default()
+        ..ClusterSpec::default()
     };
-    let world = World::start(shape).await;
-    let version = world.publish(1, 100_000);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    world.ready(MODEL, &version.to_string(), 1).await;
-    world
+    let cluster = Cluster::start(spec).await;
+    let version = cluster.publish(1, 100_000);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_ready(MODEL, &version.to_string(), 1).await;
+    cluster
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_log_settings_are_read_again_and_faulty_ones_change_nothing() {
-    let world = ready_world().await;
-    let vm = world.entry(0).vm;
-    world.add_settings(&vm, "log_format: json");
-    world.signal(&vm, "HUP");
-    let read_again = async || world.log(&vm).contains("the log settings were read again");
-    until("the log settings to be read again", read_again).await;
+async fn sighup_reloads_log_settings_and_ignores_invalid_ones() {
+    let cluster = ready_cluster().await;
+    let vm = cluster.entry(0).vm;
+    cluster.add_settings(&vm, "log_format: json");
+    cluster.signal(&vm, "HUP");
+    let reloaded = async || {
+        cluster
+            .log(&vm)
+            .contains("the log settings were read again")
+    };
+    wait_for("the log settings to be reloaded", reloaded).await;
     let json = |line: &str| serde_json::from_str::<serde_json::Value>(line).is_ok();
     assert!(
-        world.log(&vm).lines().last().is_some_and(json),
-        "lines are JSON now"
+        cluster.log(&vm).lines().last().is_some_and(json),
+        "log lines are JSON after the reload"
     );
-    world.add_settings(&vm, "log_level: loud");
-    world.signal(&vm, "HUP");
-    let refused = async || world.log(&vm).contains("logs stay as they are");
-    until("the faulty settings to be refused", refused).await;
-    let s = world.send(0, &Ask::completion(MODEL, "still")).await;
+    cluster.add_settings(&vm, "log_level: loud");
+    cluster.signal(&vm, "HUP");
+    let rejected = async || cluster.log(&vm).contains("logs stay as they are");
+    wait_for("the invalid settings to be rejected", rejected).await;
+    let s = cluster.send(0, &Ask::completion(MODEL, "still")).await;
     assert_eq!(s.reply.outcome, Some(Outcome::Done), "{s:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_stop_ends_at_once() {
-    let mut world = ready_world().await;
-    let vm = world.upstream(0).vm;
-    world.signal(&vm, "TERM");
-    until("the planned stop to begin", async || {
-        world.log(&vm).contains("stopping")
+async fn second_sigterm_exits_without_waiting_for_the_stop_notice() {
+    let mut cluster = ready_cluster().await;
+    let vm = cluster.upstream(0).vm;
+    cluster.signal(&vm, "TERM");
+    wait_for("the planned stop to begin", async || {
+        cluster.log(&vm).contains("stopping")
     })
     .await;
-    world.signal(&vm, "TERM");
+    cluster.signal(&vm, "TERM");
     assert_eq!(
-        world.ended(&vm).await,
+        cluster.wait_exit(&vm).await,
         Some(1),
-        "it does not wait for its notice"
+        "the process exits before `stop_notice` has passed"
     );
-    assert!(world.log(&vm).contains("ended by a second signal"));
+    assert!(cluster.log(&vm).contains("ended by a second signal"));
 }
--- a/crates/cli/tests/weights.rs
+++ b/crates/cli/tests/weights.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use base::Outcome;
-use common::{Sent, Shape, World, row, until};
+use common::{Cluster, ClusterSpec, Sent, row, wait_for};
 use lab::caller::Ask;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
@@ -16,8 +16,8 @@
 const BYTES: usize = 1_500_000;
 
 /// Versions that any engine ever ran requests with.
-fn versions_run(world: &World) -> BTreeSet<String> {
-    let runs = world.engines.values().flat_map(|e| e.ledger());
+fn versions_run(cluster: &Cluster) -> BTreeSet<String> {
+    let runs = cluster.engines.values().flat_map(|e| e.ledger());
     runs.map(|r| r.version.to_string()).collect()
 }
 
@@ -28,13 +28,13 @@
 }
 
 impl Load {
-    fn start(world: &World, name: &str) -> Load {
+    fn start(cluster: &Cluster, name: &str) -> Load {
         let stop = Arc::new(AtomicBool::new(false));
-        let entries = world.layout.entry_vms();
+        let entries = cluster.layout.entry_vms();
         let tasks = entries
             .into_iter()
             .map(|e| {
-                let (client, stop) = (world.client.clone(), stop.clone());
+                let (client, stop) = (cluster.client.clone(), stop.clone());
                 let name = format!("{name}-{}", e.vm);
                 tokio::spawn(async move {
                     let mut sent = Vec::new();
@@ -72,45 +72,45 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn corrupt_and_truncated_chunks_cost_a_refetch_and_never_go_live() {
-    let world = World::start(Shape::default()).await;
-    let version = world.publish(1, BYTES);
+    let cluster = Cluster::start(ClusterSpec::default()).await;
+    let version = cluster.publish(1, BYTES);
     let faults = Faults {
         corrupt: 5,
         truncate: 5,
         ..Faults::default()
     };
-    world.platform.origin.faults.set(faults);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    world.ready(MODEL, &version.to_string(), 2).await;
-    let left = world.platform.origin.faults.get();
+    cluster.platform.origin.faults.set(faults);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_ready(MODEL, &version.to_string(), 2).await;
+    let left = cluster.platform.origin.faults.get();
     assert_eq!((left.corrupt, left.truncate), (0, 0), "all faults were met");
-    let s = world.send(0, &Ask::completion(MODEL, "clean")).await;
+    let s = cluster.send(0, &Ask::completion(MODEL, "clean")).await;
     assert_eq!(s.reply.version, version.to_string());
-    world.check(&[s]);
+    cluster.check_outcomes(&[s]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_edit_to_another_version_and_back_mixes_nothing_and_loses_no_request() {
-    let world = World::start(Shape {
+    let cluster = Cluster::start(ClusterSpec {
         engines: 3,
-        ..Shape::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let (a, b) = (world.publish(1, BYTES), world.publish(2, BYTES));
-    world.apply(&[row(MODEL, a, "recife")]).await;
-    world.ready(MODEL, &a.to_string(), 3).await;
-    let load = Load::start(&world, "aba");
-    world.apply(&[row(MODEL, b, "recife")]).await;
-    world.apply(&[row(MODEL, a, "recife")]).await;
-    world.apply(&[row(MODEL, b, "recife")]).await;
-    world.ready(MODEL, &b.to_string(), 3).await;
+    let (a, b) = (cluster.publish(1, BYTES), cluster.publish(2, BYTES));
+    cluster.apply(&[row(MODEL, a, "recife")]).await;
+    cluster.wait_ready(MODEL, &a.to_string(), 3).await;
+    let load = Load::start(&cluster, "aba");
+    cluster.apply(&[row(MODEL, b, "recife")]).await;
+    cluster.apply(&[row(MODEL, a, "recife")]).await;
+    cluster.apply(&[row(MODEL, b, "recife")]).await;
+    cluster.wait_ready(MODEL, &b.to_string(), 3).await;
     let sent = load.stop().await;
-    world.check(&sent);
+    cluster.check_outcomes(&sent);
     for s in sent
         .iter()
         .filter(|s| s.reply.outcome == Some(Outcome::Done))
     {
-        let runs: Vec<_> = world.engines.values().flat_map(|e| e.ledger()).collect();
+        let runs: Vec<_> = cluster.engines.values().flat_map(|e| e.ledger()).collect();
         let run = runs
             .iter()
             .rfind(|r| r.marker == s.ask.marker)
@@ -122,47 +122,47 @@
         );
     }
     let known = BTreeSet::from([a.to_string(), b.to_string()]);
-    assert!(versions_run(&world).is_subset(&known));
+    assert!(versions_run(&cluster).is_subset(&known));
     assert!(done(&sent) > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_restarts_empty_serves_nothing_until_it_is_whole_again() {
-    let world = World::start(Shape {
+    let cluster = Cluster::start(ClusterSpec {
         engines: 1,
-        ..Shape::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let version = world.publish(1, BYTES);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    world.ready(MODEL, &version.to_string(), 1).await;
-    let load = Load::start(&world, "empty");
-    let engine = world.engines.values().next().expect("one engine").clone();
+    let version = cluster.publish(1, BYTES);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_ready(MODEL, &version.to_string(), 1).await;
+    let load = Load::start(&cluster, "empty");
+    let engine = cluster.engines.values().next().expect("one engine").clone();
     for _ in 0..3 {
         engine.restart();
-        until("the engine to be whole again", async || {
+        wait_for("the engine to be whole again", async || {
             engine.state().loaded.contains(&version)
         })
         .await;
     }
     let sent = load.stop().await;
-    world.check(&sent);
-    world.ready(MODEL, &version.to_string(), 1).await;
+    cluster.check_outcomes(&sent);
+    cluster.wait_ready(MODEL, &version.to_string(), 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_that_dies_and_comes_back_goes_on_with_what_the_engine_has() {
-    let mut world = World::start(Shape::default()).await;
-    let version = world.publish(1, BYTES);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    world.ready(MODEL, &version.to_string(), 2).await;
-    let before = world.platform.origin.weights.stats().bytes;
-    let vm = world.upstream(0).vm;
-    world.kill(&vm);
-    world.start_vm(&vm);
-    world.ready(MODEL, &version.to_string(), 2).await;
+    let mut cluster = Cluster::start(ClusterSpec::default()).await;
+    let version = cluster.publish(1, BYTES);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_ready(MODEL, &version.to_string(), 2).await;
+    let before = cluster.platform.origin.weights.stats().bytes;
+    let vm = cluster.upstream(0).vm;
+    cluster.kill(&vm);
+    cluster.start_vm(&vm);
+    cluster.wait_ready(MODEL, &version.to_string(), 2).await;
     assert_eq!(
-        world.platform.origin.weights.stats().bytes,
+        cluster.platform.origin.weights.stats().bytes,
         before,
         "nothing was drawn again"
     );
@@ -170,103 +170,103 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_killed_in_mid_transfer_ends_it_after_its_restart() {
-    let mut world = World::start(Shape::default()).await;
-    let version = world.publish(1, 20 * BYTES);
+    let mut cluster = Cluster::start(ClusterSpec::default()).await;
+    let version = cluster.publish(1, 20 * BYTES);
     let slow = Faults {
         delay_ms: 30,
         ..Faults::default()
     };
-    world.platform.origin.faults.set(slow);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    let vm = world.upstream(0).vm;
+    cluster.platform.origin.faults.set(slow);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    let vm = cluster.upstream(0).vm;
     let staged = || {
-        world.engines[&vm]
+        cluster.engines[&vm]
             .state()
             .staged
             .iter()
             .map(|s| s.chunks.len())
             .sum::<usize>()
     };
-    until("the transfer to be under way", async || staged() > 3).await;
-    world.kill(&vm);
+    wait_for("the transfer to be under way", async || staged() > 3).await;
+    cluster.kill(&vm);
     assert!(
-        world.engines[&vm].state().loaded.is_empty(),
+        cluster.engines[&vm].state().loaded.is_empty(),
         "it was cut in mid transfer"
     );
-    world.platform.origin.faults.set(Faults::default());
-    world.start_vm(&vm);
-    world.ready(MODEL, &version.to_string(), 2).await;
+    cluster.platform.origin.faults.set(Faults::default());
+    cluster.start_vm(&vm);
+    cluster.wait_ready(MODEL, &version.to_string(), 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn with_the_origin_down_after_one_copy_the_others_take_it_from_peers() {
-    let mut world = World::start(Shape {
+    let mut cluster = Cluster::start(ClusterSpec {
         engines: 3,
-        ..Shape::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let late: Vec<String> = (1..3).map(|i| world.upstream(i).vm).collect();
-    late.iter().for_each(|vm| world.kill(vm));
-    let version = world.publish(1, BYTES);
-    world.apply(&[row(MODEL, version, "recife")]).await;
-    world.ready(MODEL, &version.to_string(), 1).await;
-    world.platform.origin.faults.set(Faults {
+    let late: Vec<String> = (1..3).map(|i| cluster.upstream(i).vm).collect();
+    late.iter().for_each(|vm| cluster.kill(vm));
+    let version = cluster.publish(1, BYTES);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_ready(MODEL, &version.to_string(), 1).await;
+    cluster.platform.origin.faults.set(Faults {
         down: true,
         ..Faults::default()
     });
-    world.platform.objects.faults.set(Faults {
+    cluster.platform.objects.faults.set(Faults {
         down: true,
         ..Faults::default()
     });
-    late.iter().for_each(|vm| world.start_vm(vm));
-    world.ready(MODEL, &version.to_string(), 3).await;
-    assert_eq!(world.platform.origin.weights.stats().bytes, BYTES as u64);
+    late.iter().for_each(|vm| cluster.start_vm(vm));
+    cluster.wait_ready(MODEL, &version.to_string(), 3).await;
+    assert_eq!(cluster.platform.origin.weights.stats().bytes, BYTES as u64);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_newer_version_in_mid_transfer_drops_the_old_one() {
-    let world = World::start(Shape {
+    let cluster = Cluster::start(ClusterSpec {
         engines: 1,
-        ..Shape::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let (old, new) = (world.publish(1, 40 * BYTES), world.publish(2, BYTES));
+    let (old, new) = (cluster.publish(1, 40 * BYTES), cluster.publish(2, BYTES));
     let slow = Faults {
         delay_ms: 30,
         ..Faults::default()
     };
-    world.platform.origin.faults.set(slow);
-    world.apply(&[row(MODEL, old, "recife")]).await;
-    let engine = world.engines.values().next().expect("one engine");
-    until("the old transfer to be under way", async || {
+    cluster.platform.origin.faults.set(slow);
+    cluster.apply(&[row(MODEL, old, "recife")]).await;
+    let engine = cluster.engines.values().next().expect("one engine");
+    wait_for("the old transfer to be under way", async || {
         !engine.state().staged.is_empty()
     })
     .await;
-    world.apply(&[row(MODEL, new, "recife")]).await;
-    world.ready(MODEL, &new.to_string(), 1).await;
+    cluster.apply(&[row(MODEL, new, "recife")]).await;
+    cluster.wait_ready(MODEL, &new.to_string(), 1).await;
     assert!(!engine.state().loaded.contains(&old));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_place_withdrawn_drops_its_weights_and_refuses_at_once() {
-    let world = World::start(Shape {
+    let cluster = Cluster::start(ClusterSpec {
         domains: 2,
-        ..Shape::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let version = world.publish(1, BYTES);
-    world
+    let version = cluster.publish(1, BYTES);
+    cluster
         .apply(&[row(MODEL, version, "recife;fortaleza")])
         .await;
-    world.ready(MODEL, &version.to_string(), 4).await;
-    let edition = world.apply(&[row(MODEL, version, "recife")]).await;
-    world.in_force(edition.revision).await;
-    let before = versions_and_runs(&world, "fortaleza");
+    cluster.wait_ready(MODEL, &version.to_string(), 4).await;
+    let edition = cluster.apply(&[row(MODEL, version, "recife")]).await;
+    cluster.wait_in_force(edition.revision).await;
+    let before = versions_and_runs(&cluster, "fortaleza");
     for i in 0..10 {
-        let here = world
+        let here = cluster
             .send(0, &Ask::completion(MODEL, &format!("here{i}")))
             .await;
-        let there = world
+        let there = cluster
             .send(2, &Ask::completion(MODEL, &format!("there{i}")))
             .await;
         assert_eq!(here.reply.ran_in, "recife");
@@ -274,25 +274,25 @@
             (there.reply.status, there.reply.code.as_str()),
             (421, "outside_place")
         );
-        world.check(&[here, there]);
+        cluster.check_outcomes(&[here, there]);
     }
     assert_eq!(
-        versions_and_runs(&world, "fortaleza"),
+        versions_and_runs(&cluster, "fortaleza"),
         before,
         "nothing ran there any more"
     );
     let gone = || {
-        let engines = world
+        let engines = cluster
             .engines
             .iter()
             .filter(|(vm, _)| vm.starts_with("fortaleza"));
         engines.clone().all(|(_, e)| e.state().loaded.is_empty())
     };
-    until("the weights to be dropped", async || gone()).await;
+    wait_for("the weights to be dropped", async || gone()).await;
 }
 
-fn versions_and_runs(world: &World, domain: &str) -> usize {
-    let engines = world
+fn versions_and_runs(cluster: &Cluster, domain: &str) -> usize {
+    let engines = cluster
         .engines
         .iter()
         .filter(|(vm, _)| vm.starts_with(domain));
@@ -301,41 +301,41 @@
 
 /// With one of the two guards off, the other holds, and says so by its own code.
 async fn one_guard_holds(entry_line: &str, agent_line: &str, code: &str) {
-    let shape = Shape {
+    let spec = ClusterSpec {
         domains: 2,
         entry_lines: vec![entry_line.to_owned(), "retry_budget: 100".to_owned()],
         agent_lines: vec![agent_line.to_owned()],
-        ..Shape::default()
+        ..ClusterSpec::default()
     };
-    let world = World::start(shape).await;
-    let version = world.publish(1, BYTES);
-    world.apply(&[row(MODEL, version, "recife")]).await;
+    let cluster = Cluster::start(spec).await;
+    let version = cluster.publish(1, BYTES);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
     let ready = async || {
-        world
+        cluster
             .send(0, &Ask::completion(MODEL, "probe"))
             .await
             .reply
             .outcome
             == Some(Outcome::Done)
     };
-    until("the permitted place to serve", ready).await;
+    wait_for("the permitted place to serve", ready).await;
     let known = async || {
-        let status = world.status(&world.entry(2)).await;
-        let open = tokio::net::TcpStream::connect(world.entry(2).listen)
+        let status = cluster.status(&cluster.entry(2)).await;
+        let open = tokio::net::TcpStream::connect(cluster.entry(2).listen)
             .await
             .is_ok();
         open && status.is_some_and(|s| s.remote.len() == 2)
     };
-    until("the other place to know of its replicas", known).await;
+    wait_for("the other place to know of its replicas", known).await;
     for i in 0..10 {
-        let s = world
+        let s = cluster
             .send(2, &Ask::completion(MODEL, &format!("outside{i}")))
             .await;
         assert_eq!(s.reply.outcome, Some(Outcome::NotRun), "{s:?}");
         assert_eq!(s.reply.code, code, "{s:?}");
-        assert_eq!(world.runs(&s.ask.marker), 0);
+        assert_eq!(cluster.run_count(&s.ask.marker), 0);
     }
-    assert_eq!(versions_and_runs(&world, "fortaleza"), 0);
+    assert_eq!(versions_and_runs(&cluster, "fortaleza"), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -350,15 +350,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn weights_go_to_no_agent_of_a_place_that_is_not_permitted() {
-    let world = World::start(Shape {
+    let cluster = Cluster::start(ClusterSpec {
         domains: 2,
-        ..Shape::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let version = world.publish(1, BYTES);
-    world.apply(&[row(MODEL, version, "recife")]).await;
+    let version = cluster.publish(1, BYTES);
+    cluster.apply(&[row(MODEL, version, "recife")]).await;
     let live = || {
-        let engines = world
+        let engines = cluster
             .engines
             .iter()
             .filter(|(vm, _)| vm.starts_with("recife"));
@@ -366,17 +366,17 @@
             .clone()
             .all(|(_, e)| e.state().loaded.contains(&version))
     };
-    until("the permitted place to hold the weights", async || live()).await;
-    let peer = world.layout.bound(world.upstream(0).peer);
+    wait_for("the permitted place to hold the weights", async || live()).await;
+    let peer = cluster.layout.bound(cluster.upstream(0).peer);
     for (domain, status) in [("recife", 200), ("fortaleza", 403), ("", 403)] {
         let req = hyper::Request::builder()
             .uri(format!("/chunk/{version}/0"))
             .header(base::header::DOMAIN, domain)
             .body(web::empty())
             .expect("a request");
-        let res = world
+        let res = cluster
             .client
-            .send(peer, req, common::PATIENCE)
+            .send(peer, req, common::TIMEOUT)
             .await
             .expect("answered");
         assert_eq!(res.status().as_u16(), status, "asked from {domain:?}");
@@ -385,28 +385,33 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rollout_ends_though_a_domain_is_cut_off_for_a_while() {
-    let world = World::start(Shape {
+    let cluster = Cluster::start(ClusterSpec {
         domains: 2,
         engines: 2,
         agent_lines: vec!["origin_patience: 1s".to_owned()],
-        ..Shape::default()
+        ..ClusterSpec::default()
     })
     .await;
-    let version = world.publish(1, 10 * BYTES);
-    world.platform.origin.faults.set(Faults {
+    let version = cluster.publish(1, 10 * BYTES);
+    cluster.platform.origin.faults.set(Faults {
         delay_ms: 10,
         ..Faults::default()
     });
-    world
+    cluster
         .apply(&[row(MODEL, version, "recife;fortaleza")])
         .await;
-    let begun = || world.engines.values().any(|e| !e.state().staged.is_empty());
-    until("the rollout to be under way", async || begun()).await;
-    world
+    let begun = || {
+        cluster
+            .engines
+            .values()
+            .any(|e| !e.state().staged.is_empty())
+    };
+    wait_for("the rollout to be under way", async || begun()).await;
+    cluster
         .board
-        .set(world.side(0), world.side(1), LinkState::Cut);
+        .set(cluster.side(0), cluster.side(1), LinkState::Cut);
     let there = || {
-        let engines = world
+        let engines = cluster
             .engines
             .iter()
             .filter(|(vm, _)| vm.starts_with("fortaleza"));
@@ -414,59 +419,59 @@
             .clone()
             .all(|(_, e)| e.state().loaded.contains(&version))
     };
-    until("the domain that is cut off to be ready", async || there()).await;
-    world.board.heal();
-    world.ready(MODEL, &version.to_string(), 4).await;
+    wait_for("the domain that is cut off to be ready", async || there()).await;
+    cluster.board.heal();
+    cluster.wait_ready(MODEL, &version.to_string(), 4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_fenced_out_by_a_later_one_gives_no_more_orders() {
     for honours_fences in [true, false] {
-        let shape = Shape {
+        let spec = ClusterSpec {
             engines: 1,
             agent_lines: vec![format!("fencing: {honours_fences}")],
             behaviour: lab::standin::engine::Behaviour {
                 honours_fences,
                 ..Default::default()
             },
-            ..Shape::default()
+            ..ClusterSpec::default()
         };
-        let mut world = World::start(shape).await;
-        let (a, b) = (world.publish(1, BYTES), world.publish(2, BYTES));
-        world.apply(&[row(MODEL, a, "recife")]).await;
-        world.ready(MODEL, &a.to_string(), 1).await;
-        let vm = world.upstream(0).vm;
-        world.signal(&vm, "STOP");
-        let second = second_agent(&world);
-        world.start_vm(&second);
-        world.apply(&[row(MODEL, b, "recife")]).await;
-        let engine = world.engines[&vm].clone();
+        let mut cluster = Cluster::start(spec).await;
+        let (a, b) = (cluster.publish(1, BYTES), cluster.publish(2, BYTES));
+        cluster.apply(&[row(MODEL, a, "recife")]).await;
+        cluster.wait_ready(MODEL, &a.to_string(), 1).await;
+        let vm = cluster.upstream(0).vm;
+        cluster.signal(&vm, "STOP");
+        let second = second_agent(&cluster);
+        cluster.start_vm(&second);
+        cluster.apply(&[row(MODEL, b, "recife")]).await;
+        let engine = cluster.engines[&vm].clone();
         let switched = || engine.state().loaded == vec![b];
-        until("the later agent to bring the new version in", async || {
+        wait_for("the later agent to bring the new version in", async || {
             switched()
         })
         .await;
-        world.signal(&vm, "CONT");
-        until("the earlier agent to give way", async || {
-            world.log(&vm).contains("another agent runs this VM")
+        cluster.signal(&vm, "CONT");
+        wait_for("the earlier agent to give way", async || {
+            cluster.log(&vm).contains("another agent runs this VM")
         })
         .await;
-        world.apply(&[row(MODEL, a, "recife")]).await;
-        until(
+        cluster.apply(&[row(MODEL, a, "recife")]).await;
+        wait_for(
             "the later agent to bring the old version back",
             async || engine.state().loaded == vec![a],
         )
         .await;
-        let s = world.send(0, &Ask::completion(MODEL, "after")).await;
-        world.check(&[s]);
+        let s = cluster.send(0, &Ask::completion(MODEL, "after")).await;
+        cluster.check_outcomes(&[s]);
     }
 }
 
 /// Settings of a second agent for the first upstream, on addresses of its own.
-fn second_agent(world: &World) -> String {
-    let first = world.upstream(0);
+fn second_agent(cluster: &Cluster) -> String {
+    let first = cluster.upstream(0);
     let text =
-        std::fs::read_to_string(world.path(&format!("{}.yaml", first.vm))).expect("settings");
+        std::fs::read_to_string(cluster.path(&format!("{}.yaml", first.vm))).expect("settings");
     let other = |s: String, port: u16| {
         let from = std::net::SocketAddr::new(first.listen.ip(), port);
         let to = std::net::SocketAddr::new(first.listen.ip(), port + 40);
@@ -475,6 +480,6 @@
     let text = [18180, 18181, 8182].into_iter().fold(text, other);
     let advertised = |l: &&str| !l.contains("_advertised");
     let text: Vec<&str> = text.lines().filter(advertised).collect();
-    world.write(&format!("{}-b.yaml", first.vm), &text.join("\n"));
+    cluster.write(&format!("{}-b.yaml", first.vm), &text.join("\n"));
     format!("{}-b", first.vm)
 }
