--- a/crates/cli/tests/edits.rs
+++ b/crates/cli/tests/edits.rs
@@ -1,4 +1,4 @@
-//! Edits of the table: accepted once, in force everywhere, never reverted.
+//! Edits of the table: each is accepted once, comes into force everywhere, and is never reverted.
 
 mod common;
 
@@ -22,7 +22,8 @@
     )]
 }
 
-async fn domains(n: usize) -> Cluster {
+/// Starts a cluster of failure domains with one engine each.
+async fn start_domains(n: usize) -> Cluster {
     Cluster::start(ClusterSpec {
         domains: n,
         engines: 1,
@@ -32,7 +33,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_at_once_one_wins_and_the_other_exits_with_3() {
+async fn one_of_two_concurrent_edits_is_accepted_and_the_other_exits_with_3() {
     let cluster = Cluster::without_processes(ClusterSpec::default()).await;
     for round in 0..10 {
         let a = cluster.write("a.csv", &csv(&rows(round)));
@@ -62,14 +63,14 @@
         let mut codes = outputs.each_ref().map(|o| o.status.code().expect("a code"));
         codes.sort_unstable();
         assert_eq!(codes, [0, 3], "round {round}: {outputs:?}");
-        let loser = outputs
+        let rejected = outputs
             .iter()
             .find(|o| o.status.code() == Some(3))
-            .expect("one lost");
-        let told = String::from_utf8_lossy(&loser.stderr);
+            .expect("one edit was rejected");
+        let message = String::from_utf8_lossy(&rejected.stderr);
         assert!(
-            told.contains("priority from") || told.contains("add"),
-            "told what changed: {told}"
+            message.contains("priority from") || message.contains("add"),
+            "the message names the changes: {message}"
         );
     }
     let current = cluster
@@ -77,12 +78,15 @@
         .current(None)
         .await
         .expect("readable")
-        .expect("there");
-    assert_eq!(current.edition.revision, 10, "one accepted edit a round");
+        .expect("an edition");
+    assert_eq!(
+        current.edition.revision, 10,
+        "one edit is accepted per round"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edit_whose_answer_was_lost_is_accepted_if_it_took_effect_and_never_refused() {
+async fn edit_with_a_lost_response_is_accepted_if_it_took_effect_and_unknown_otherwise() {
     let cluster = Cluster::without_processes(ClusterSpec::default()).await;
     cluster.platform.table.faults.set(Faults {
         lose_writes: 1,
@@ -95,7 +99,7 @@
         .current(None)
         .await
         .expect("readable")
-        .expect("there");
+        .expect("an edition");
     assert_eq!(current.edition.edit, edition.edit);
     cluster.platform.table.faults.set(Faults {
         drop_writes: 1,
@@ -104,19 +108,22 @@
     let dropped = tables.apply(&current, csv(&rows(2)), "test").await;
     assert!(
         matches!(dropped, Err(PlatformError::ResponseLost(_))),
-        "not known: {dropped:?}"
+        "unknown outcome: {dropped:?}"
     );
     let after = tables
         .current(None)
         .await
         .expect("readable")
-        .expect("there");
-    assert_eq!(after.edition.revision, 1, "nor did it take effect");
+        .expect("an edition");
+    assert_eq!(
+        after.edition.revision, 1,
+        "the dropped edit did not take effect"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_edit_is_in_force_in_every_domain_and_the_times_are_told() {
-    let cluster = domains(3).await;
+async fn accepted_edit_comes_into_force_in_every_domain() {
+    let cluster = start_domains(3).await;
     cluster.wait_in_force(0).await;
     let mut times = Vec::new();
     for i in 0..10 {
@@ -130,8 +137,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_domain_cut_from_the_platform_learns_of_an_edit_from_its_neighbours() {
-    let cluster = domains(2).await;
+async fn domain_without_the_platform_receives_edits_from_other_domains() {
+    let cluster = start_domains(2).await;
     let first = cluster.apply(&rows(1)).await;
     cluster.wait_in_force(first.revision).await;
     cluster.cut_platform(0);
@@ -140,7 +147,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_domain_cut_from_all_serves_until_the_hold_runs_out_and_status_says_what_is_not_known() {
+async fn isolated_domain_serves_until_the_hold_expires_and_status_reports_it_as_unknown() {
     let spec = ClusterSpec {
         domains: 2,
         engines: 1,
@@ -148,9 +155,12 @@
     };
     let cluster = Cluster::start(spec).await;
     let version = cluster.publish(1, 100_000);
-    let held =
+    let row_with_hold =
         |model: &str, hold: &str| format!("{model},{version},recife;fortaleza,100,,5,{hold}");
-    let rows = [held("brief", "1500ms"), held("steady", "serve")];
+    let rows = [
+        row_with_hold("brief", "1500ms"),
+        row_with_hold("steady", "serve"),
+    ];
     cluster.apply(&rows).await;
     cluster.wait_ready("brief", &version.to_string(), 2).await;
     let ask = |model: &str| Ask::completion(model, &format!("cut{:x}", rand::random::<u32>()));
@@ -161,7 +171,7 @@
     cluster.cut_platform(0);
     cluster.cut_neighbours(0);
     let lapsed = async || cluster.send(0, &ask("brief")).await.reply.code == "hold_lapsed";
-    wait_for("the hold to run out", lapsed).await;
+    wait_for("the hold to expire", lapsed).await;
     let steady = cluster.send(0, &ask("steady")).await;
     assert_eq!(steady.reply.outcome, Some(Outcome::Done), "{steady:?}");
     let elsewhere = cluster.send(2, &ask("brief")).await;
@@ -170,14 +180,14 @@
         Some(Outcome::Done),
         "{elsewhere:?}"
     );
-    let edition = cluster.apply(&[held("brief", "1500ms")]).await;
+    let edition = cluster.apply(&[row_with_hold("brief", "1500ms")]).await;
     let fortaleza = async || {
         cluster
             .status(&cluster.entry(2))
             .await
             .is_some_and(|s| s.revision == edition.revision)
     };
-    wait_for("the other domain to have the edit", fortaleza).await;
+    wait_for("the other domain to receive the edit", fortaleza).await;
     let out = cluster.run_command("ana", &["table", "status", "--json"]);
     let status: serde_json::Value = serde_json::from_slice(&out.stdout).expect("JSON");
     let by_name = |name: &str| {
@@ -191,13 +201,14 @@
     assert_eq!(by_name("fortaleza")["in_force"], true, "{status}");
     cluster.board.heal();
     cluster.wait_in_force(edition.revision).await;
-    let back = async || cluster.send(0, &ask("brief")).await.reply.outcome == Some(Outcome::Done);
-    wait_for("the healed domain to serve again", back).await;
+    let recovered =
+        async || cluster.send(0, &ask("brief")).await.reply.outcome == Some(Outcome::Done);
+    wait_for("the healed domain to serve again", recovered).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_process_ever_goes_back_in_revision() {
-    let cluster = domains(2).await;
+async fn revision_of_an_entry_never_decreases() {
+    let cluster = start_domains(2).await;
     let stop = Arc::new(AtomicBool::new(false));
     let watchers: Vec<_> = cluster
         .layout
@@ -224,7 +235,7 @@
                         serde_json::from_slice(&buf).expect("a status");
                     assert!(
                         status.revision >= last,
-                        "{} went from {last} to {}",
+                        "{} went back from revision {last} to {}",
                         e.vm,
                         status.revision
                     );
@@ -254,12 +265,12 @@
     cluster.wait_in_force(20).await;
     stop.store(true, Ordering::Relaxed);
     for watcher in watchers {
-        assert_eq!(watcher.await.expect("never back"), 20);
+        assert_eq!(watcher.await.expect("the revision never decreases"), 20);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_restarts_in_an_outage_learns_the_edition_from_its_agents() {
+async fn entry_restarted_in_a_platform_outage_receives_the_edition_from_its_agents() {
     let spec = ClusterSpec {
         entries: 1,
         ..ClusterSpec::default()
@@ -272,7 +283,7 @@
         status
             .is_some_and(|s| s.upstreams.len() == 2 && s.upstreams.iter().all(|u| u.revision == 1))
     };
-    wait_for("both agents to have the edition", agents).await;
+    wait_for("both agents to receive the edition", agents).await;
     cluster.platform.table.faults.set(Faults {
         down: true,
         ..Faults::default()
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that leave, and planned stops.
+//! Upstreams that leave, and planned stops of agents and entries.
 
 mod common;
 
@@ -25,13 +25,14 @@
     cluster
 }
 
-async fn leaving_seen(cluster: &Cluster, entry: usize, vm: &str) -> bool {
+/// Returns whether an entry reports an upstream as leaving.
+async fn is_seen_leaving(cluster: &Cluster, entry: usize, vm: &str) -> bool {
     let status = cluster.status(&cluster.entry(entry)).await;
     status.is_some_and(|s| s.upstreams.iter().any(|u| u.vm == vm && u.leaving))
 }
 
-/// Sends requests and expects each to be done by another upstream than the one that leaves.
-async fn served_elsewhere(cluster: &Cluster, vm: &str) {
+/// Sends requests, and asserts that all are done and that none ran on the leaving upstream.
+async fn assert_served_elsewhere(cluster: &Cluster, vm: &str) {
     let before = cluster.engines[vm].ledger().len();
     let mut sent = Vec::new();
     for i in 0..30 {
@@ -48,12 +49,12 @@
     assert_eq!(
         cluster.engines[vm].ledger().len(),
         before,
-        "no new work went to {vm}"
+        "no new request ran on {vm}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_that_stops_tells_the_entries_itself() {
+async fn stopping_agent_announces_to_the_entries_that_it_leaves() {
     let lines = vec!["stop_notice: 20s".to_owned()];
     let cluster = ready_cluster(ClusterSpec {
         agent_lines: lines,
@@ -61,38 +62,38 @@
     })
     .await;
     let vm = cluster.upstream(0).vm;
-    // No request is sent before it is seen, so no refusal tells; the platform's list says nothing.
+    // No request is sent before, hence no refusal reports it, and the platform's list doesn't either.
     cluster.signal(&vm, "TERM");
     for entry in 0..2 {
-        wait_for("the entry to see it leave", async || {
-            leaving_seen(&cluster, entry, &vm).await
+        wait_for("the entry to see the upstream leave", async || {
+            is_seen_leaving(&cluster, entry, &vm).await
         })
         .await;
     }
-    served_elsewhere(&cluster, &vm).await;
+    assert_served_elsewhere(&cluster, &vm).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_platforms_list_alone_tells_of_an_upstream_that_leaves() {
+async fn platform_list_alone_reports_a_leaving_upstream() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let vm = cluster.upstream(0).vm;
-    // A frozen agent neither tells nor refuses, and its lease has not run out.
+    // A frozen agent neither announces that it leaves nor refuses requests, and its lease hasn't expired.
     cluster.signal(&vm, "STOP");
     let mut members = cluster.layout.members();
-    let leaver = members.iter_mut().find(|m| m.vm == vm).expect("listed");
-    leaver.state = MemberState::Leaving;
+    let leaving = members.iter_mut().find(|m| m.vm == vm).expect("listed");
+    leaving.state = MemberState::Leaving;
     cluster.platform.set_members(&members);
     for entry in 0..2 {
         wait_for("the entry to read the list", async || {
-            leaving_seen(&cluster, entry, &vm).await
+            is_seen_leaving(&cluster, entry, &vm).await
         })
         .await;
     }
-    served_elsewhere(&cluster, &vm).await;
+    assert_served_elsewhere(&cluster, &vm).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_refuses_for_certain_when_nothing_else_tells() {
+async fn stopping_agent_refuses_requests_of_entries_that_do_not_know() {
     let lines = vec!["stop_notice: 20s".to_owned()];
     let cluster = ready_cluster(ClusterSpec {
         agent_lines: lines,
@@ -105,21 +106,21 @@
         cluster.board.set_towards(control, LinkState::Stalled);
     }
     cluster.signal(&vm, "TERM");
-    wait_for("the agent to have taken the signal", async || {
+    wait_for("the agent to handle the signal", async || {
         cluster.log(&vm).contains("stopping")
     })
     .await;
     for entry in 0..2 {
         assert!(
-            !leaving_seen(&cluster, entry, &vm).await,
-            "nobody has told the entry"
+            !is_seen_leaving(&cluster, entry, &vm).await,
+            "the entry doesn't know yet"
         );
     }
-    served_elsewhere(&cluster, &vm).await;
+    assert_served_elsewhere(&cluster, &vm).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_list_that_goes_back_in_time_brings_no_leaver_back() {
+async fn outdated_platform_list_does_not_restore_a_leaving_upstream() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let vm = cluster.upstream(0).vm;
     let live = cluster.layout.members();
@@ -129,19 +130,19 @@
         .filter(|m| m.vm == vm)
         .for_each(|m| m.state = MemberState::Leaving);
     cluster.platform.set_members(&leaving);
-    let told = || {
+    let notified = || {
         cluster
             .log(&vm)
             .contains("the platform lists this VM as leaving")
     };
-    wait_for("the agent to be told", async || told()).await;
+    wait_for("the agent to read the list", async || notified()).await;
     cluster.platform.set_members(&live);
-    served_elsewhere(&cluster, &vm).await;
-    assert!(leaving_seen(&cluster, 0, &vm).await);
+    assert_served_elsewhere(&cluster, &vm).await;
+    assert!(is_seen_leaving(&cluster, 0, &vm).await);
 }
 
-/// Callers that go on until told to stop, each like a balancer: what meets a closed port is sent
-/// to another entry.
+/// Runs callers until `stop` is set; returns their requests. Each caller rotates over the entries, like a
+/// balancer.
 async fn callers(client: web::Client, layout: Layout, stop: Arc<AtomicBool>) -> Vec<Sent> {
     let entries = layout.entry_vms();
     let tasks: Vec<_> = (0..6)
@@ -186,7 +187,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn rolling_restarts_of_all_agents_and_entries_cut_off_no_request() {
+async fn rolling_restarts_of_agents_and_entries_interrupt_no_request() {
     let mut cluster = ready_cluster(ClusterSpec {
         engines: 3,
         ..ClusterSpec::default()
@@ -214,28 +215,32 @@
         .map(|e| e.vm)
         .collect();
     let (client, layout) = (cluster.client.clone(), cluster.layout.clone());
-    let calling = tokio::spawn(callers(client, layout, stop.clone()));
+    let load = tokio::spawn(callers(client, layout, stop.clone()));
     for vm in agents.iter().chain(&entries).chain(&agents) {
         cluster.signal(vm, "TERM");
         assert_eq!(
             cluster.wait_exit(vm).await,
             Some(0),
-            "{vm} stops as planned"
+            "{vm} completes its planned stop"
         );
         cluster.start_vm(vm);
         cluster.wait_ready(MODEL, &version, 3).await;
     }
     stop.store(true, Ordering::Relaxed);
-    let sent = calling.await.expect("callers");
+    let sent = load.await.expect("callers");
     cluster.check_outcomes(&sent);
-    let refused = |s: &&Sent| s.reply.status == 0 && s.reply.outcome == Some(Outcome::NotRun);
+    let connection_refused =
+        |s: &&Sent| s.reply.status == 0 && s.reply.outcome == Some(Outcome::NotRun);
     let done = |s: &&Sent| s.reply.outcome == Some(Outcome::Done);
-    let other: Vec<_> = sent.iter().filter(|s| !done(s) && !refused(s)).collect();
+    let other: Vec<_> = sent
+        .iter()
+        .filter(|s| !done(s) && !connection_refused(s))
+        .collect();
     println!(
         "{} requests, {} at a stopped entry's closed port",
         sent.len(),
-        sent.iter().filter(refused).count()
+        sent.iter().filter(connection_refused).count()
     );
-    assert!(other.is_empty(), "cut off: {other:?}");
+    assert!(other.is_empty(), "interrupted: {other:?}");
     assert!(sent.iter().filter(done).count() > 50);
 }
--- a/crates/cli/tests/malformed.rs
+++ b/crates/cli/tests/malformed.rs
@@ -1,5 +1,5 @@
-//! Ten thousand malformed inputs on every port of entry and agent: each gets a refusal or a closed
-//! connection, nobody panics, and others go on.
+//! Malformed, slow and oversize requests at the ports of entries and agents: each is refused or its connection
+//! is closed, no process panics, and other requests are served.
 
 mod common;
 
@@ -16,14 +16,14 @@
 
 const MODEL: &str = "changelog";
 
-/// Inputs for each port.
-const INPUTS: usize = 2500;
+/// Number of inputs for each port.
+const INPUTS_PER_PORT: usize = 2500;
 
-/// Connections at once.
-const AT_ONCE: usize = 50;
+/// Maximum number of concurrent connections.
+const MAX_CONNECTIONS: usize = 50;
 
-/// Bytes that are nearly requests, and bytes that are nothing at all.
-fn inputs(n: usize) -> Vec<Vec<u8>> {
+/// Generates inputs: random bytes, requests with malformed heads, and completions with malformed bodies.
+fn generate_inputs(n: usize) -> Vec<Vec<u8>> {
     let mut runner = TestRunner::new(cases::cases(n as u32));
     let noise = proptest::collection::vec(proptest::num::u8::ANY, 1..200);
     let line = "(GET|POST|PUT|\\PC{1,6}) (/v1/completions|/services/registry/x|/chunk/zz/9|/have/\\PC{0,9}|\\PC{0,20}) HTTP/1\\.[0-9]\r\n(content-length: [0-9]{1,22}\r\n|transfer-encoding: chunked\r\n|driftnotch-[a-z]{1,8}: [ -~]{0,30}\r\n|[ -~]{0,40}\r\n){0,4}(\r\n)?[ -~]{0,60}";
@@ -39,8 +39,9 @@
         .collect()
 }
 
-/// Sends the bytes, closes its side, and reads what comes; the status where there is one.
-async fn feed(to: SocketAddr, input: &[u8]) -> Option<String> {
+/// Sends the bytes, shuts down its side of the connection and reads to the end. Returns the first line of the
+/// response, if there is one.
+async fn send_input(to: SocketAddr, input: &[u8]) -> Option<String> {
     let mut stream = TcpStream::connect(to).await.expect("the port is open");
     let _ = stream.write_all(input).await;
     let _ = stream.shutdown().await;
@@ -48,30 +49,37 @@
     let read = tokio::time::timeout(common::TIMEOUT, stream.read_to_end(&mut answer)).await;
     assert!(
         read.is_ok(),
-        "no end to {:?}",
+        "no end of the response to {:?}",
         String::from_utf8_lossy(input)
     );
     let text = String::from_utf8_lossy(&answer).into_owned();
     text.lines().next().map(str::to_owned)
 }
 
-async fn feed_all(to: SocketAddr, inputs: Vec<Vec<u8>>) -> usize {
+/// Sends all inputs to a port; returns how many got a response.
+async fn send_inputs(to: SocketAddr, inputs: Vec<Vec<u8>>) -> usize {
     let mut answered = 0;
     let mut tasks = tokio::task::JoinSet::new();
     for input in inputs {
-        if tasks.len() == AT_ONCE {
-            answered += usize::from(tasks.join_next().await.expect("one").expect("fed"));
+        if tasks.len() == MAX_CONNECTIONS {
+            answered += usize::from(
+                tasks
+                    .join_next()
+                    .await
+                    .expect("a task")
+                    .expect("an input was sent"),
+            );
         }
-        tasks.spawn(async move { feed(to, &input).await.is_some() });
+        tasks.spawn(async move { send_input(to, &input).await.is_some() });
     }
-    while let Some(fed) = tasks.join_next().await {
-        answered += usize::from(fed.expect("fed"));
+    while let Some(result) = tasks.join_next().await {
+        answered += usize::from(result.expect("an input was sent"));
     }
     answered
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn ten_thousand_malformed_inputs_hurt_nobody() {
+async fn survives_ten_thousand_malformed_inputs() {
     let lines = vec![
         "header_timeout: 500ms".to_owned(),
         "body_timeout: 500ms".to_owned(),
@@ -94,10 +102,12 @@
         cluster.layout.bound(agent.listen),
         cluster.layout.bound(agent.peer),
     ];
-    let mut all = inputs(INPUTS * ports.len());
+    let mut all = generate_inputs(INPUTS_PER_PORT * ports.len());
     for (i, port) in ports.into_iter().enumerate() {
-        let answered = feed_all(port, all.split_off(all.len() - INPUTS)).await;
-        println!("{port}: {answered} of {INPUTS} were answered, the others closed");
+        let answered = send_inputs(port, all.split_off(all.len() - INPUTS_PER_PORT)).await;
+        println!(
+            "{port}: {answered} of {INPUTS_PER_PORT} got a response, the others a closed connection"
+        );
         let s = cluster
             .send(0, &Ask::completion(MODEL, &format!("after{i}")))
             .await;
@@ -115,7 +125,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_and_oversize_callers_are_refused_and_others_go_on() {
+async fn refuses_slow_and_oversize_requests_and_serves_others() {
     let lines = vec![
         "header_timeout: 300ms".to_owned(),
         "body_timeout: 300ms".to_owned(),
@@ -143,10 +153,10 @@
         let n = read.await.expect("ended").unwrap_or(0);
         String::from_utf8_lossy(&answer[..n]).into_owned()
     };
-    let told = read(slow_body).await;
+    let timed_out = read(slow_body).await;
     assert!(
-        told.starts_with("HTTP/1.1 408") && told.contains("driftnotch-outcome: not-run"),
-        "{told}"
+        timed_out.starts_with("HTTP/1.1 408") && timed_out.contains("driftnotch-outcome: not-run"),
+        "{timed_out}"
     );
     let closed = read(slow_head).await;
     assert!(
@@ -164,7 +174,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_requests_get_a_code_and_a_remedy() {
+async fn answers_malformed_requests_with_a_code_and_a_message() {
     let cluster = Cluster::start(ClusterSpec::default()).await;
     let version = cluster.publish(1, 100_000);
     cluster.apply(&[row(MODEL, version, "recife")]).await;
