--- a/crates/cli/tests/fuzz.rs
+++ b/crates/cli/tests/fuzz.rs
@@ -1,4 +1,5 @@
-//! Stateful fuzzing of a whole deployment against a simple oracle: the ledgers of the engines.
+//! Stateful fuzzing of a whole cluster under faults. The ledgers of the engines are the oracle for the outcomes
+//! that callers are told.
 //!
 //! A longer run: `PROPTEST_CASES=100 cargo test -p driftnotch --test fuzz -- --nocapture`.
 
@@ -20,14 +21,14 @@
 const ENTRIES: usize = 2;
 const AGENTS: usize = 3;
 
-/// Requests sent by one step.
-const AT_ONCE: usize = 6;
+/// Number of requests that one step sends.
+const REQUESTS_PER_STEP: usize = 6;
 
 #[derive(Debug, Clone)]
 enum Step {
     Send(usize),
     Resend(usize, usize),
-    Settle,
+    WaitForResponses,
     KillAgent(usize),
     KillEntry(usize),
     Start,
@@ -41,26 +42,26 @@
     Edit(bool),
 }
 
-/// Which VMs are up, as far as the choice of steps needs to know.
+/// Reference state: the VMs that are dead or frozen, which restricts the choice of steps.
 #[derive(Debug, Clone, Default)]
-struct Ups {
+struct VmStates {
     dead: Vec<String>,
     frozen: Vec<usize>,
 }
 
-impl ReferenceStateMachine for Ups {
-    type State = Ups;
+impl ReferenceStateMachine for VmStates {
+    type State = VmStates;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Ups> {
-        Just(Ups::default()).boxed()
+    fn init_state() -> BoxedStrategy<VmStates> {
+        Just(VmStates::default()).boxed()
     }
 
-    fn transitions(_: &Ups) -> BoxedStrategy<Step> {
+    fn transitions(_: &VmStates) -> BoxedStrategy<Step> {
         prop_oneof![
             6 => (0..ENTRIES).prop_map(Step::Send),
             4 => (0..ENTRIES, 0..100usize).prop_map(|(e, n)| Step::Resend(e, n)),
-            3 => Just(Step::Settle),
+            3 => Just(Step::WaitForResponses),
             1 => (0..AGENTS).prop_map(Step::KillAgent),
             1 => (0..ENTRIES).prop_map(Step::KillEntry),
             2 => Just(Step::Start),
@@ -76,25 +77,25 @@
         .boxed()
     }
 
-    fn preconditions(ups: &Ups, step: &Step) -> bool {
+    fn preconditions(vms: &VmStates, step: &Step) -> bool {
         match step {
-            Step::KillAgent(i) => !ups.dead.contains(&agent(*i)) && !ups.frozen.contains(i),
-            Step::KillEntry(i) => !ups.dead.contains(&entry(*i)),
-            Step::Freeze(i) => !ups.dead.contains(&agent(*i)) && !ups.frozen.contains(i),
+            Step::KillAgent(i) => !vms.dead.contains(&agent(*i)) && !vms.frozen.contains(i),
+            Step::KillEntry(i) => !vms.dead.contains(&entry(*i)),
+            Step::Freeze(i) => !vms.dead.contains(&agent(*i)) && !vms.frozen.contains(i),
             _ => true,
         }
     }
 
-    fn apply(mut ups: Ups, step: &Step) -> Ups {
+    fn apply(mut vms: VmStates, step: &Step) -> VmStates {
         match step {
-            Step::KillAgent(i) => ups.dead.push(agent(*i)),
-            Step::KillEntry(i) => ups.dead.push(entry(*i)),
-            Step::Start => ups.dead.clear(),
-            Step::Freeze(i) => ups.frozen.push(*i),
-            Step::Thaw => ups.frozen.clear(),
+            Step::KillAgent(i) => vms.dead.push(agent(*i)),
+            Step::KillEntry(i) => vms.dead.push(entry(*i)),
+            Step::Start => vms.dead.clear(),
+            Step::Freeze(i) => vms.frozen.push(*i),
+            Step::Thaw => vms.frozen.clear(),
             _ => {}
         }
-        ups
+        vms
     }
 }
 
@@ -106,11 +107,12 @@
     format!("recife-entry-{}", i + 1)
 }
 
+/// System under test: the cluster, with the requests sent so far.
 struct Sut {
     runtime: Runtime,
     cluster: Cluster,
     versions: [Digest; 2],
-    asked: Vec<Ask>,
+    requests: Vec<Ask>,
     pending: Vec<JoinHandle<Sent>>,
     sent: Vec<Sent>,
     dead: Vec<String>,
@@ -130,9 +132,10 @@
         }));
     }
 
-    fn send_some(&mut self, entry: usize) {
-        for _ in 0..AT_ONCE {
-            let n = self.asked.len();
+    /// Sends new requests of all kinds to an entry.
+    fn send_batch(&mut self, entry: usize) {
+        for _ in 0..REQUESTS_PER_STEP {
+            let n = self.requests.len();
             let plain = Ask {
                 tokens: 3 + (n % 5) as u32 * 10,
                 deadline: Duration::from_secs(3),
@@ -154,25 +157,26 @@
                     ..plain
                 },
             };
-            self.asked.push(ask.clone());
+            self.requests.push(ask.clone());
             self.send(entry, ask);
         }
     }
 
-    /// Sends one of the requests with a key again, as a caller would that lost its answer.
+    /// Resends a request that has a key, as a caller does after a lost response.
     fn resend(&mut self, entry: usize, n: usize) {
-        let keyed: Vec<Ask> = self
-            .asked
+        let with_key: Vec<Ask> = self
+            .requests
             .iter()
             .filter(|a| a.key.is_some())
             .cloned()
             .collect();
-        if let Some(ask) = keyed.get(n % keyed.len().max(1)) {
+        if let Some(ask) = with_key.get(n % with_key.len().max(1)) {
             self.send(entry, ask.clone());
         }
     }
 
-    fn settle(&mut self) {
+    /// Waits for the responses to all pending requests.
+    fn wait_for_responses(&mut self) {
         for task in self.pending.drain(..) {
             self.sent
                 .push(self.runtime.block_on(task).expect("a caller"));
@@ -185,22 +189,23 @@
         self.cluster.platform.table.faults.set(faults);
     }
 
-    fn start_dead(&mut self) {
+    fn start_dead_vms(&mut self) {
         for vm in std::mem::take(&mut self.dead) {
             self.cluster.start_vm(&vm);
         }
     }
 
-    fn thaw_frozen(&mut self) {
+    fn thaw_frozen_agents(&mut self) {
         for vm in std::mem::take(&mut self.frozen) {
             self.cluster.signal(&vm, "CONT");
         }
     }
 
+    /// Applies an edit that places the first or the second version.
     fn edit(&mut self, second: bool) {
         let version = self.versions[usize::from(second)];
         let cluster = &self.cluster;
-        // Under a fault of the table an edit may fail; what then holds is the last accepted one.
+        // An edit may fail under a fault of the table; the last accepted edition then stays in force.
         self.runtime.block_on(async {
             let tables = cluster.tables();
             if let Ok(Some(current)) = tables.current(None).await {
@@ -212,13 +217,13 @@
     }
 }
 
-struct Deployment;
+struct ClusterTest;
 
-impl StateMachineTest for Deployment {
+impl StateMachineTest for ClusterTest {
     type SystemUnderTest = Sut;
-    type Reference = Ups;
+    type Reference = VmStates;
 
-    fn init_test(_: &Ups) -> Sut {
+    fn init_test(_: &VmStates) -> Sut {
         let runtime = Runtime::new().expect("a runtime");
         let (cluster, versions) = runtime.block_on(async {
             let lines = vec![
@@ -243,7 +248,7 @@
             runtime,
             cluster,
             versions,
-            asked: Vec::new(),
+            requests: Vec::new(),
             pending: Vec::new(),
             sent: Vec::new(),
             dead: Vec::new(),
@@ -252,11 +257,11 @@
         }
     }
 
-    fn apply(mut sut: Sut, _: &Ups, step: Step) -> Sut {
+    fn apply(mut sut: Sut, _: &VmStates, step: Step) -> Sut {
         match step {
-            Step::Send(entry) => sut.send_some(entry),
+            Step::Send(entry) => sut.send_batch(entry),
             Step::Resend(entry, n) => sut.resend(entry, n),
-            Step::Settle => sut.settle(),
+            Step::WaitForResponses => sut.wait_for_responses(),
             Step::KillAgent(i) => {
                 sut.cluster.kill(&agent(i));
                 sut.dead.push(agent(i));
@@ -265,12 +270,12 @@
                 sut.cluster.kill(&entry(i));
                 sut.dead.push(entry(i));
             }
-            Step::Start => sut.start_dead(),
+            Step::Start => sut.start_dead_vms(),
             Step::Freeze(i) => {
                 sut.cluster.signal(&agent(i), "STOP");
                 sut.frozen.push(agent(i));
             }
-            Step::Thaw => sut.thaw_frozen(),
+            Step::Thaw => sut.thaw_frozen_agents(),
             Step::EmptyEngine(i) => sut.cluster.engines[&agent(i)].restart(),
             Step::TableDown(down) => sut.set_faults(|f| f.down = down),
             Step::LoseWrites(n) => sut.set_faults(|f| f.lose_writes = n),
@@ -286,31 +291,31 @@
         sut
     }
 
-    fn check_invariants(sut: &Sut, _: &Ups) {
+    fn check_invariants(sut: &Sut, _: &VmStates) {
         sut.cluster.check_outcomes(&sut.sent);
     }
 
-    /// Everything heals, all callers get their answers, and what they were told is held against
-    /// the ledgers; then the deployment serves again.
-    fn teardown(mut sut: Sut, _: Ups) {
-        sut.thaw_frozen();
-        sut.start_dead();
+    /// Removes all faults, waits for all responses, and asserts that the outcomes agree with the ledgers and that
+    /// the cluster serves again.
+    fn teardown(mut sut: Sut, _: VmStates) {
+        sut.thaw_frozen_agents();
+        sut.start_dead_vms();
         sut.set_faults(|f| *f = Faults::default());
         sut.cluster.board.heal();
-        sut.settle();
+        sut.wait_for_responses();
         sut.cluster.check_outcomes(&sut.sent);
-        let told = |o: Outcome| {
+        let count = |o: Outcome| {
             sut.sent
                 .iter()
                 .filter(|s| s.reply.outcome == Some(o))
                 .count()
         };
         println!(
-            "{} requests: {} done, {} not-run, {} unknown, {} without an answer",
+            "{} requests: {} done, {} not-run, {} unknown, {} without a response",
             sut.sent.len(),
-            told(Outcome::Done),
-            told(Outcome::NotRun),
-            told(Outcome::Unknown),
+            count(Outcome::Done),
+            count(Outcome::NotRun),
+            count(Outcome::Unknown),
             sut.sent
                 .iter()
                 .filter(|s| s.reply.outcome.is_none())
@@ -318,7 +323,7 @@
         );
         let cluster = &sut.cluster;
         sut.runtime
-            .block_on(wait_for("the healed deployment to serve", async || {
+            .block_on(wait_for("the healed cluster to serve", async || {
                 let ask = Ask::completion(MODEL, &format!("healed{:x}", rand::random::<u64>()));
                 cluster.send(0, &ask).await.reply.outcome == Some(Outcome::Done)
             }));
@@ -329,5 +334,5 @@
     #![proptest_config(proptest::test_runner::Config { max_shrink_iters: 20, ..cases::cases(4) })]
 
     #[test]
-    fn what_callers_are_told_is_true_whatever_fails(sequential 10..40 => Deployment);
+    fn outcomes_agree_with_the_ledgers_under_all_faults(sequential 10..40 => ClusterTest);
 }
--- a/crates/cli/tests/outcomes.rs
+++ b/crates/cli/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! What callers are told, under kills, freezes, cuts and lost answers.
+//! Outcomes that callers are told, under killed and frozen processes, cut links and lost responses.
 
 mod common;
 
@@ -35,19 +35,19 @@
     Ask { tokens: 400, ..ask }
 }
 
-/// Waits until a marker runs somewhere; the VM.
-async fn runs_at(cluster: &Cluster, marker: &str) -> String {
+/// Waits until a request runs at an engine; returns the engine's VM.
+async fn wait_running(cluster: &Cluster, marker: &str) -> String {
     let found = || {
         let mut engines = cluster.engines.iter();
         let at = engines.find(|(_, e)| e.ledger().iter().any(|r| r.marker == marker));
         at.map(|(vm, _)| vm.clone())
     };
     wait_for("the request to run", async || found().is_some()).await;
-    found().expect("it runs")
+    found().expect("the request runs")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_kind_of_request_gets_its_own_whole_answer() {
+async fn every_kind_of_request_gets_its_own_complete_response() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let mut sent = Vec::new();
     for i in 0..40 {
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resend_with_the_same_key_gets_the_recorded_answer_from_any_entry() {
+async fn resend_with_the_same_key_gets_the_recorded_response_from_any_entry() {
     let cluster = ready_cluster(ClusterSpec {
         domains: 2,
         ..ClusterSpec::default()
@@ -82,18 +82,18 @@
     .await;
     let ask = keyed("resent");
     let first = cluster.send(0, &ask).await;
-    let again = cluster.send(1, &ask).await;
+    let resent = cluster.send(1, &ask).await;
     let elsewhere = cluster.send(2, &ask).await;
-    for s in [&first, &again, &elsewhere] {
+    for s in [&first, &resent, &elsewhere] {
         assert_eq!(s.reply.outcome, Some(Outcome::Done), "{s:?}");
     }
-    assert!(!first.reply.replayed && again.reply.replayed && elsewhere.reply.replayed);
+    assert!(!first.reply.replayed && resent.reply.replayed && elsewhere.reply.replayed);
     assert_eq!(first.reply.body, elsewhere.reply.body);
     assert_eq!(cluster.run_count("resent"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_with_another_body_is_refused() {
+async fn refuses_a_key_with_a_different_body() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let first = cluster.send(0, &keyed("one")).await;
     let other = Ask {
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn resends_at_the_same_moment_run_once() {
+async fn concurrent_resends_run_once() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let mut sent: Vec<Sent> = Vec::new();
     for i in 0..10 {
@@ -129,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_killed_in_mid_request_leaves_an_unsafe_one_unknown_and_a_safe_one_done() {
+async fn agent_killed_during_requests_leaves_the_unsafe_one_unknown_and_the_safe_one_done() {
     let mut cluster = ready_cluster(ClusterSpec::default()).await;
     let (unsafe_ask, safe_ask) = (slow(keyed("killed")), slow(Ask::completion(MODEL, "saved")));
     let entry = cluster.entry(0).listen;
@@ -138,12 +138,12 @@
     let c = client.clone();
     let unsafe_task = tokio::spawn(async move { lab::caller::send(&c, entry, &u).await });
     let safe_task = tokio::spawn(async move { lab::caller::send(&client, entry, &s).await });
-    let vm = runs_at(&cluster, "killed").await;
-    runs_at(&cluster, "saved").await;
+    let vm = wait_running(&cluster, "killed").await;
+    wait_running(&cluster, "saved").await;
     cluster.kill(&vm);
-    let reply = unsafe_task.await.expect("answered");
+    let reply = unsafe_task.await.expect("a response");
     assert_eq!(reply.outcome, Some(Outcome::Unknown), "{reply:?}");
-    let safe = safe_task.await.expect("answered");
+    let safe = safe_task.await.expect("a response");
     assert_eq!(
         safe.outcome,
         Some(Outcome::Done),
@@ -163,19 +163,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_killed_in_mid_request_loses_nothing_for_a_caller_with_a_key() {
+async fn response_is_replayed_by_key_after_the_entry_is_killed() {
     let mut cluster = ready_cluster(ClusterSpec::default()).await;
     let ask = slow(keyed("orphan"));
     let (client, entry, a) = (cluster.client.clone(), cluster.entry(0), ask.clone());
     let task = tokio::spawn(async move { lab::caller::send(&client, entry.listen, &a).await });
-    runs_at(&cluster, "orphan").await;
+    wait_running(&cluster, "orphan").await;
     cluster.kill(&cluster.entry(0).vm);
-    let reply = task.await.expect("ended");
+    let reply = task.await.expect("the caller completes");
     assert_eq!(reply.outcome, None, "the connection broke");
     let running = cluster.send(1, &ask).await;
-    let told = [Some(Outcome::Unknown), Some(Outcome::Done)];
-    assert!(told.contains(&running.reply.outcome), "{running:?}");
-    wait_for("the recorded answer", async || {
+    let permitted = [Some(Outcome::Unknown), Some(Outcome::Done)];
+    assert!(permitted.contains(&running.reply.outcome), "{running:?}");
+    wait_for("the recorded response", async || {
         cluster.send(1, &ask).await.reply.outcome == Some(Outcome::Done)
     })
     .await;
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_whose_answer_was_lost_is_settled_by_reading_it_back() {
+async fn claim_with_a_lost_response_is_resolved_by_reading_it_back() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let faults = Faults {
         lose_writes: 1,
@@ -196,7 +196,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_that_was_dropped_is_not_run_and_runs_when_sent_again() {
+async fn request_with_a_dropped_claim_is_not_run_and_runs_on_resend() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let faults = Faults {
         drop_writes: 1,
@@ -213,7 +213,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn in_a_platform_outage_safe_requests_and_those_without_a_key_are_served() {
+async fn platform_outage_refuses_only_requests_with_a_key() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     cluster.platform.table.faults.set(Faults {
         down: true,
@@ -234,7 +234,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_agent_that_thaws_runs_nothing_that_was_given_up_on() {
+async fn thawed_agent_runs_no_abandoned_request() {
     let lines = vec!["attempt_timeout: 500ms".to_owned()];
     let cluster = ready_cluster(ClusterSpec {
         engines: 1,
@@ -264,8 +264,8 @@
     cluster.check_outcomes(&sent);
 }
 
-/// Begins a long stream, and gives the rest of its body once the first events have come.
-async fn begun_stream(cluster: &Cluster, marker: &str) -> hyper::body::Incoming {
+/// Starts a long stream; returns the rest of its body once the first frame has arrived.
+async fn start_stream(cluster: &Cluster, marker: &str) -> hyper::body::Incoming {
     let body = format!(
         "{{\"model\":\"{MODEL}\",\"prompt\":\"{marker}\",\"stream\":true,\"max_tokens\":2000}}"
     );
@@ -280,23 +280,27 @@
         .client
         .send(to, req, common::TIMEOUT)
         .await
-        .expect("a head");
+        .expect("a response head");
     assert_eq!(
         web::header(res.headers(), base::header::OUTCOME),
         Some("unknown")
     );
     let mut body = res.into_body();
-    let first = body.frame().await.expect("a frame").expect("whole");
+    let first = body
+        .frame()
+        .await
+        .expect("a frame")
+        .expect("a complete frame");
     assert!(first.into_data().expect("data").starts_with(b"data: "));
     body
 }
 
-/// What a caller that is cut off in mid stream must read: whole events, no `[DONE]`, and last of
-/// all an outcome that says unknown.
-async fn ends_unknown(body: hyper::body::Incoming) {
+/// Asserts that an interrupted stream has only complete events, no `[DONE]`, and a last event with the outcome
+/// `unknown`.
+async fn assert_ends_unknown(body: hyper::body::Incoming) {
     let rest = web::read_body(body, 1 << 20, common::TIMEOUT)
         .await
-        .expect("an end");
+        .expect("an end of the stream");
     let text = String::from_utf8_lossy(&rest).into_owned();
     assert!(!text.contains("[DONE]"), "{text}");
     let mut events: Vec<&str> = text.trim_end().split("\n\n").collect();
@@ -305,49 +309,49 @@
         last.starts_with("event: outcome\ndata: {\"outcome\":\"unknown\""),
         "{last}"
     );
-    let whole = |event: &&str| event.starts_with("data: {") && event.ends_with('}');
-    assert!(events.iter().all(whole), "{events:?}");
+    let is_complete = |event: &&str| event.starts_with("data: {") && event.ends_with('}');
+    assert!(events.iter().all(is_complete), "{events:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_link_that_stalls_in_mid_stream_is_never_passed_off_as_a_whole_answer() {
+async fn stream_over_a_stalled_link_ends_with_outcome_unknown() {
     let cluster = ready_cluster(ClusterSpec {
         engines: 1,
         ..ClusterSpec::default()
     })
     .await;
-    let body = begun_stream(&cluster, "stalled").await;
+    let body = start_stream(&cluster, "stalled").await;
     cluster
         .board
         .set(cluster.side(0), cluster.side(0), LinkState::Stalled);
-    ends_unknown(body).await;
+    assert_ends_unknown(body).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_killed_in_mid_stream_is_never_passed_off_as_a_whole_answer() {
+async fn stream_of_a_killed_agent_ends_with_outcome_unknown() {
     let mut cluster = ready_cluster(ClusterSpec {
         engines: 1,
         ..ClusterSpec::default()
     })
     .await;
-    let body = begun_stream(&cluster, "killed").await;
+    let body = start_stream(&cluster, "killed").await;
     cluster.kill(&cluster.upstream(0).vm);
-    ends_unknown(body).await;
+    assert_ends_unknown(body).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_hangs_up_ends_a_safe_run_and_not_an_unsafe_one() {
+async fn caller_disconnect_cancels_safe_requests_only() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
-    let hang_up = async |ask: Ask| {
+    let disconnect = async |ask: Ask| {
         let (client, entry, marker) =
             (cluster.client.clone(), cluster.entry(0), ask.marker.clone());
         let task =
             tokio::spawn(async move { lab::caller::send(&client, entry.listen, &ask).await });
-        runs_at(&cluster, &marker).await;
+        wait_running(&cluster, &marker).await;
         task.abort();
     };
-    hang_up(slow(Ask::completion(MODEL, "hungsafe"))).await;
-    hang_up(slow(keyed("hungkeyed"))).await;
+    disconnect(slow(Ask::completion(MODEL, "hungsafe"))).await;
+    disconnect(slow(keyed("hungkeyed"))).await;
     let running = || {
         cluster
             .engines
@@ -355,11 +359,14 @@
             .map(|e| e.state().running)
             .sum::<u32>()
     };
-    wait_for("all runs to end", async || running() == 0).await;
+    wait_for("all requests to complete", async || running() == 0).await;
     let runs: Vec<_> = cluster.engines.values().flat_map(|e| e.ledger()).collect();
-    let ended = |marker: &str| runs.iter().any(|r| r.marker == marker && r.ended);
-    assert!(!ended("hungsafe"), "a safe run is cancelled");
-    assert!(ended("hungkeyed"), "an unsafe run goes on and is recorded");
+    let completed = |marker: &str| runs.iter().any(|r| r.marker == marker && r.ended);
+    assert!(!completed("hungsafe"), "a safe request is cancelled");
+    assert!(
+        completed("hungkeyed"),
+        "an unsafe request completes and is recorded"
+    );
     let again = cluster.send(1, &slow(keyed("hungkeyed"))).await;
     assert_eq!(again.reply.outcome, Some(Outcome::Done), "{again:?}");
     assert_eq!(cluster.run_count("hungkeyed"), 1);
--- a/crates/cli/tests/weights.rs
+++ b/crates/cli/tests/weights.rs
@@ -1,4 +1,5 @@
-//! Whole weights in permitted places, under corruption, cuts, restarts and changes of mind.
+//! Weights are complete and only in permitted places, under corrupt chunks, cut links, restarts and reverted
+//! edits.
 
 mod common;
 
@@ -15,13 +16,13 @@
 const MODEL: &str = "changelog";
 const BYTES: usize = 1_500_000;
 
-/// Versions that any engine ever ran requests with.
+/// Returns the versions with which engines have run requests.
 fn versions_run(cluster: &Cluster) -> BTreeSet<String> {
     let runs = cluster.engines.values().flat_map(|e| e.ledger());
     runs.map(|r| r.version.to_string()).collect()
 }
 
-/// Callers at all entries until told to stop; what they sent.
+/// Callers that send requests to all entries until they are stopped.
 struct Load {
     stop: Arc<AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<Vec<Sent>>>,
@@ -55,6 +56,7 @@
         Load { stop, tasks }
     }
 
+    /// Stops the callers; returns their requests.
     async fn stop(self) -> Vec<Sent> {
         self.stop.store(true, Ordering::Relaxed);
         let mut sent = Vec::new();
@@ -65,13 +67,14 @@
     }
 }
 
-fn done(sent: &[Sent]) -> usize {
-    let done = |s: &&Sent| s.reply.outcome == Some(Outcome::Done);
-    sent.iter().filter(done).count()
+/// Returns the number of requests with the outcome `done`.
+fn count_done(sent: &[Sent]) -> usize {
+    let is_done = |s: &&Sent| s.reply.outcome == Some(Outcome::Done);
+    sent.iter().filter(is_done).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn corrupt_and_truncated_chunks_cost_a_refetch_and_never_go_live() {
+async fn corrupt_and_truncated_chunks_are_fetched_again_and_never_go_live() {
     let cluster = Cluster::start(ClusterSpec::default()).await;
     let version = cluster.publish(1, BYTES);
     let faults = Faults {
@@ -82,15 +85,19 @@
     cluster.platform.origin.faults.set(faults);
     cluster.apply(&[row(MODEL, version, "recife")]).await;
     cluster.wait_ready(MODEL, &version.to_string(), 2).await;
-    let left = cluster.platform.origin.faults.get();
-    assert_eq!((left.corrupt, left.truncate), (0, 0), "all faults were met");
+    let remaining = cluster.platform.origin.faults.get();
+    assert_eq!(
+        (remaining.corrupt, remaining.truncate),
+        (0, 0),
+        "all faults occurred"
+    );
     let s = cluster.send(0, &Ask::completion(MODEL, "clean")).await;
     assert_eq!(s.reply.version, version.to_string());
     cluster.check_outcomes(&[s]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_edit_to_another_version_and_back_mixes_nothing_and_loses_no_request() {
+async fn switching_versions_under_load_mixes_no_versions_and_loses_no_request() {
     let cluster = Cluster::start(ClusterSpec {
         engines: 3,
         ..ClusterSpec::default()
@@ -114,20 +121,20 @@
         let run = runs
             .iter()
             .rfind(|r| r.marker == s.ask.marker)
-            .expect("it ran");
+            .expect("a run in the ledger");
         assert_eq!(
             run.version.to_string(),
             s.reply.version,
-            "the version told is the one it ran with"
+            "the reported version is the one that the request ran with"
         );
     }
     let known = BTreeSet::from([a.to_string(), b.to_string()]);
     assert!(versions_run(&cluster).is_subset(&known));
-    assert!(done(&sent) > 0);
+    assert!(count_done(&sent) > 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_restarts_empty_serves_nothing_until_it_is_whole_again() {
+async fn restarted_engine_serves_nothing_until_its_weights_are_complete() {
     let cluster = Cluster::start(ClusterSpec {
         engines: 1,
         ..ClusterSpec::default()
@@ -140,7 +147,7 @@
     let engine = cluster.engines.values().next().expect("one engine").clone();
     for _ in 0..3 {
         engine.restart();
-        wait_for("the engine to be whole again", async || {
+        wait_for("the engine's weights to be complete again", async || {
             engine.state().loaded.contains(&version)
         })
         .await;
@@ -151,7 +158,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_that_dies_and_comes_back_goes_on_with_what_the_engine_has() {
+async fn restarted_agent_keeps_the_weights_loaded_in_the_engine() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await;
     let version = cluster.publish(1, BYTES);
     cluster.apply(&[row(MODEL, version, "recife")]).await;
@@ -164,12 +171,12 @@
     assert_eq!(
         cluster.platform.origin.weights.stats().bytes,
         before,
-        "nothing was drawn again"
+        "nothing was fetched from the origin again"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_killed_in_mid_transfer_ends_it_after_its_restart() {
+async fn agent_killed_during_a_transfer_completes_it_after_its_restart() {
     let mut cluster = Cluster::start(ClusterSpec::default()).await;
     let version = cluster.publish(1, 20 * BYTES);
     let slow = Faults {
@@ -191,7 +198,7 @@
     cluster.kill(&vm);
     assert!(
         cluster.engines[&vm].state().loaded.is_empty(),
-        "it was cut in mid transfer"
+        "the agent was killed during the transfer"
     );
     cluster.platform.origin.faults.set(Faults::default());
     cluster.start_vm(&vm);
@@ -199,7 +206,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_origin_down_after_one_copy_the_others_take_it_from_peers() {
+async fn agents_fetch_from_a_peer_while_the_origin_is_down() {
     let mut cluster = Cluster::start(ClusterSpec {
         engines: 3,
         ..ClusterSpec::default()
@@ -224,7 +231,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_newer_version_in_mid_transfer_drops_the_old_one() {
+async fn newer_version_cancels_the_transfer_of_the_old_one() {
     let cluster = Cluster::start(ClusterSpec {
         engines: 1,
         ..ClusterSpec::default()
@@ -248,7 +255,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_place_withdrawn_drops_its_weights_and_refuses_at_once() {
+async fn withdrawn_place_drops_its_weights_and_refuses_requests() {
     let cluster = Cluster::start(ClusterSpec {
         domains: 2,
         ..ClusterSpec::default()
@@ -261,7 +268,7 @@
     cluster.wait_ready(MODEL, &version.to_string(), 4).await;
     let edition = cluster.apply(&[row(MODEL, version, "recife")]).await;
     cluster.wait_in_force(edition.revision).await;
-    let before = versions_and_runs(&cluster, "fortaleza");
+    let before = runs_in(&cluster, "fortaleza");
     for i in 0..10 {
         let here = cluster
             .send(0, &Ask::completion(MODEL, &format!("here{i}")))
@@ -277,21 +284,22 @@
         cluster.check_outcomes(&[here, there]);
     }
     assert_eq!(
-        versions_and_runs(&cluster, "fortaleza"),
+        runs_in(&cluster, "fortaleza"),
         before,
-        "nothing ran there any more"
+        "no further request ran in the withdrawn place"
     );
-    let gone = || {
+    let dropped = || {
         let engines = cluster
             .engines
             .iter()
             .filter(|(vm, _)| vm.starts_with("fortaleza"));
         engines.clone().all(|(_, e)| e.state().loaded.is_empty())
     };
-    wait_for("the weights to be dropped", async || gone()).await;
+    wait_for("the weights to be dropped", async || dropped()).await;
 }
 
-fn versions_and_runs(cluster: &Cluster, domain: &str) -> usize {
+/// Returns the number of requests that ran at the engines of a failure domain.
+fn runs_in(cluster: &Cluster, domain: &str) -> usize {
     let engines = cluster
         .engines
         .iter()
@@ -299,8 +307,9 @@
     engines.map(|(_, e)| e.ledger().len()).sum()
 }
 
-/// With one of the two guards off, the other holds, and says so by its own code.
-async fn one_guard_holds(entry_line: &str, agent_line: &str, code: &str) {
+/// Asserts that with one of the two checks of places off, the other refuses requests outside of their place, with
+/// its own code.
+async fn assert_one_check_suffices(entry_line: &str, agent_line: &str, code: &str) {
     let spec = ClusterSpec {
         domains: 2,
         entry_lines: vec![entry_line.to_owned(), "retry_budget: 100".to_owned()],
@@ -326,7 +335,7 @@
             .is_ok();
         open && status.is_some_and(|s| s.remote.len() == 2)
     };
-    wait_for("the other place to know of its replicas", known).await;
+    wait_for("the other place to learn of the replicas", known).await;
     for i in 0..10 {
         let s = cluster
             .send(2, &Ask::completion(MODEL, &format!("outside{i}")))
@@ -335,21 +344,21 @@
         assert_eq!(s.reply.code, code, "{s:?}");
         assert_eq!(cluster.run_count(&s.ask.marker), 0);
     }
-    assert_eq!(versions_and_runs(&cluster, "fortaleza"), 0);
+    assert_eq!(runs_in(&cluster, "fortaleza"), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_entries_guard_off_the_agents_keep_requests_in_their_place() {
-    one_guard_holds("check_places: false", "check_places: true", "all_refused").await;
+async fn agents_keep_requests_in_their_place_without_the_check_of_entries() {
+    assert_one_check_suffices("check_places: false", "check_places: true", "all_refused").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_agents_guard_off_the_entries_keep_requests_in_their_place() {
-    one_guard_holds("check_places: true", "check_places: false", "outside_place").await;
+async fn entries_keep_requests_in_their_place_without_the_check_of_agents() {
+    assert_one_check_suffices("check_places: true", "check_places: false", "outside_place").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn weights_go_to_no_agent_of_a_place_that_is_not_permitted() {
+async fn agents_outside_permitted_places_get_no_weights() {
     let cluster = Cluster::start(ClusterSpec {
         domains: 2,
         ..ClusterSpec::default()
@@ -366,7 +375,7 @@
             .clone()
             .all(|(_, e)| e.state().loaded.contains(&version))
     };
-    wait_for("the permitted place to hold the weights", async || live()).await;
+    wait_for("the permitted place to load the weights", async || live()).await;
     let peer = cluster.layout.bound(cluster.upstream(0).peer);
     for (domain, status) in [("recife", 200), ("fortaleza", 403), ("", 403)] {
         let req = hyper::Request::builder()
@@ -378,13 +387,13 @@
             .client
             .send(peer, req, common::TIMEOUT)
             .await
-            .expect("answered");
-        assert_eq!(res.status().as_u16(), status, "asked from {domain:?}");
+            .expect("a response");
+        assert_eq!(res.status().as_u16(), status, "requested from {domain:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rollout_ends_though_a_domain_is_cut_off_for_a_while() {
+async fn rollout_completes_while_a_domain_is_cut_off() {
     let cluster = Cluster::start(ClusterSpec {
         domains: 2,
         engines: 2,
@@ -400,17 +409,17 @@
     cluster
         .apply(&[row(MODEL, version, "recife;fortaleza")])
         .await;
-    let begun = || {
+    let started = || {
         cluster
             .engines
             .values()
             .any(|e| !e.state().staged.is_empty())
     };
-    wait_for("the rollout to be under way", async || begun()).await;
+    wait_for("the rollout to be under way", async || started()).await;
     cluster
         .board
         .set(cluster.side(0), cluster.side(1), LinkState::Cut);
-    let there = || {
+    let loaded_in_fortaleza = || {
         let engines = cluster
             .engines
             .iter()
@@ -419,13 +428,16 @@
             .clone()
             .all(|(_, e)| e.state().loaded.contains(&version))
     };
-    wait_for("the domain that is cut off to be ready", async || there()).await;
+    wait_for("the domain that is cut off to be ready", async || {
+        loaded_in_fortaleza()
+    })
+    .await;
     cluster.board.heal();
     cluster.wait_ready(MODEL, &version.to_string(), 4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_agent_fenced_out_by_a_later_one_gives_no_more_orders() {
+async fn agent_fenced_out_by_a_later_one_sends_no_more_orders() {
     for honours_fences in [true, false] {
         let spec = ClusterSpec {
             engines: 1,
@@ -447,18 +459,18 @@
         cluster.apply(&[row(MODEL, b, "recife")]).await;
         let engine = cluster.engines[&vm].clone();
         let switched = || engine.state().loaded == vec![b];
-        wait_for("the later agent to bring the new version in", async || {
+        wait_for("the later agent to load the new version", async || {
             switched()
         })
         .await;
         cluster.signal(&vm, "CONT");
-        wait_for("the earlier agent to give way", async || {
+        wait_for("the earlier agent to detect the later one", async || {
             cluster.log(&vm).contains("another agent runs this VM")
         })
         .await;
         cluster.apply(&[row(MODEL, a, "recife")]).await;
         wait_for(
-            "the later agent to bring the old version back",
+            "the later agent to load the old version again",
             async || engine.state().loaded == vec![a],
         )
         .await;
@@ -467,19 +479,19 @@
     }
 }
 
-/// Settings of a second agent for the first upstream, on addresses of its own.
+/// Writes the settings of a second agent for the first upstream, with its own addresses; returns the agent's name.
 fn second_agent(cluster: &Cluster) -> String {
     let first = cluster.upstream(0);
     let text =
         std::fs::read_to_string(cluster.path(&format!("{}.yaml", first.vm))).expect("settings");
-    let other = |s: String, port: u16| {
+    let move_port = |s: String, port: u16| {
         let from = std::net::SocketAddr::new(first.listen.ip(), port);
         let to = std::net::SocketAddr::new(first.listen.ip(), port + 40);
         s.replace(&from.to_string(), &to.to_string())
     };
-    let text = [18180, 18181, 8182].into_iter().fold(text, other);
-    let advertised = |l: &&str| !l.contains("_advertised");
-    let text: Vec<&str> = text.lines().filter(advertised).collect();
+    let text = [18180, 18181, 8182].into_iter().fold(text, move_port);
+    let not_advertised = |l: &&str| !l.contains("_advertised");
+    let text: Vec<&str> = text.lines().filter(not_advertised).collect();
     cluster.write(&format!("{}-b.yaml", first.vm), &text.join("\n"));
     format!("{}-b", first.vm)
 }
