--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -28,7 +28,7 @@
 /// Destination of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// Standard error, unbuffered.
+    /// Standard error, written directly.
     Stderr,
     /// Standard output, through the queue.
     Stdout,
