--- a/crates/cli/src/commands/loader.rs
+++ b/crates/cli/src/commands/loader.rs
@@ -1,4 +1,4 @@
-//! `driftnotch loader`
+//! `driftnotch loader`: runs a loader.
 
 use std::path::Path;
 
@@ -7,9 +7,9 @@
 use super::process;
 use crate::error::Error;
 
-/// Runs a loader until it is stopped.
+/// Runs a loader until a stop signal.
 pub fn run(settings: &Path) -> Result<(), Error> {
-    let (Settings::Loader(cfg), faults) = process::load_to_run(settings)? else {
+    let (Settings::Loader(cfg), faults) = process::load_with_defaults(settings)? else {
         return Err(Error::WrongRole(settings.to_owned(), "a loader"));
     };
     let process = process::start_node(settings, &cfg.node, &faults)?;
