--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use base::{Digest, Outcome};
 use bytes::Bytes;
 use entry::admin::Status;
-use lab::caller::{Ask, Reply, send};
+use lab::caller::{Reply, RequestSpec, send};
 use lab::layout::{EntryVm, Layout, UpstreamVm};
 use lab::standin::engine::{Behaviour, Engine};
 use lab::standin::platform::Platform;
@@ -105,7 +105,7 @@
 /// A request with what came back.
 #[derive(Debug, Clone)]
 pub struct Sent {
-    pub ask: Ask,
+    pub ask: RequestSpec,
     pub reply: Reply,
 }
 
@@ -157,7 +157,7 @@
         layout.domains.truncate(shape.domains);
         layout.relayed = true;
         let (stop_tx, stop) = watch::channel(false);
-        let platform = Platform::start(layout.platform_bound(), None, stop.clone())
+        let platform = Platform::start(layout.platform_listen_addrs(), None, stop.clone())
             .await
             .expect("the platform starts");
         platform.set_members(&layout.members());
@@ -173,7 +173,7 @@
         );
         for addr in known {
             board
-                .relay(addr, layout.bound(addr))
+                .relay(addr, layout.listen_addr(addr))
                 .await
                 .expect("a relay starts");
         }
@@ -362,7 +362,7 @@
 
     pub fn tables(&self) -> Tables {
         // Past the relays: the operator's own link is not what is cut.
-        let addr = self.layout.platform_bound().table;
+        let addr = self.layout.platform_listen_addrs().table;
         Tables::new(Kv::new(
             addr,
             DialOptions::with_timeout(Duration::from_secs(2)),
@@ -452,11 +452,11 @@
     }
 
     pub async fn status(&self, e: &EntryVm) -> Option<Status> {
-        lab::caller::get(&self.client, e.admin, "/status").await
+        lab::caller::get_json(&self.client, e.admin, "/status").await
     }
 
     /// Sends a request to an entry.
-    pub async fn send(&self, entry: usize, ask: &Ask) -> Sent {
+    pub async fn send(&self, entry: usize, ask: &RequestSpec) -> Sent {
         let reply = send(&self.client, self.entry(entry).listen, ask).await;
         let ask = ask.clone();
         Sent { ask, reply }
@@ -475,7 +475,7 @@
         for s in sent {
             let marker = &s.ask.marker;
             let runs = self.runs(marker);
-            assert_eq!(s.reply.fault(&s.ask), None, "a whole answer of its own");
+            assert_eq!(s.reply.mismatch(&s.ask), None, "a whole answer of its own");
             let once = s.ask.mark_unsafe || s.ask.key.is_some();
             assert!(!once || runs <= 1, "{marker} ran {runs} times");
             let alone = sent.iter().filter(|o| o.ask.marker == *marker).count() == 1;
--- a/crates/cli/tests/edits.rs
+++ b/crates/cli/tests/edits.rs
@@ -8,7 +8,7 @@
 
 use base::Outcome;
 use common::{Shape, World, csv, row, until};
-use lab::caller::Ask;
+use lab::caller::RequestSpec;
 use lab::standin::fault::Faults;
 use store::PlatformError;
 
@@ -153,7 +153,8 @@
     let rows = [held("brief", "1500ms"), held("steady", "serve")];
     world.apply(&rows).await;
     world.ready("brief", &version.to_string(), 2).await;
-    let ask = |model: &str| Ask::completion(model, &format!("cut{:x}", rand::random::<u32>()));
+    let ask =
+        |model: &str| RequestSpec::completion(model, &format!("cut{:x}", rand::random::<u32>()));
     assert_eq!(
         world.send(0, &ask("brief")).await.reply.outcome,
         Some(Outcome::Done)
--- a/crates/cli/tests/fuzz.rs
+++ b/crates/cli/tests/fuzz.rs
@@ -8,7 +8,7 @@
 
 use base::{Digest, Outcome};
 use common::{Sent, Shape, World, row, until};
-use lab::caller::Ask;
+use lab::caller::RequestSpec;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
 use proptest::prelude::*;
@@ -110,7 +110,7 @@
     runtime: Runtime,
     world: World,
     versions: [Digest; 2],
-    asked: Vec<Ask>,
+    asked: Vec<RequestSpec>,
     pending: Vec<JoinHandle<Sent>>,
     sent: Vec<Sent>,
     dead: Vec<String>,
@@ -119,7 +119,7 @@
 }
 
 impl Sut {
-    fn send(&mut self, entry: usize, ask: Ask) {
+    fn send(&mut self, entry: usize, ask: RequestSpec) {
         let (client, to) = (self.world.client.clone(), self.world.entry(entry).listen);
         self.pending.push(self.runtime.spawn(async move {
             let reply = lab::caller::send(&client, to, &ask).await;
@@ -130,22 +130,22 @@
     fn send_some(&mut self, entry: usize) {
         for _ in 0..AT_ONCE {
             let n = self.asked.len();
-            let plain = Ask {
+            let plain = RequestSpec {
                 tokens: 3 + (n % 5) as u32 * 10,
                 deadline: Duration::from_secs(3),
-                ..Ask::completion(MODEL, &format!("fuzz{n}"))
+                ..RequestSpec::completion(MODEL, &format!("fuzz{n}"))
             };
             let ask = match n % 4 {
                 0 => plain,
-                1 => Ask {
+                1 => RequestSpec {
                     stream: true,
                     ..plain
                 },
-                2 => Ask {
+                2 => RequestSpec {
                     mark_unsafe: true,
                     ..plain
                 },
-                _ => Ask {
+                _ => RequestSpec {
                     key: Some(format!("key{n}")),
                     mark_unsafe: true,
                     ..plain
@@ -158,7 +158,7 @@
 
     /// Sends one of the requests with a key again, as a caller would that lost its answer.
     fn resend(&mut self, entry: usize, n: usize) {
-        let keyed: Vec<Ask> = self
+        let keyed: Vec<RequestSpec> = self
             .asked
             .iter()
             .filter(|a| a.key.is_some())
@@ -314,7 +314,8 @@
         let world = &sut.world;
         sut.runtime
             .block_on(until("the healed deployment to serve", async || {
-                let ask = Ask::completion(MODEL, &format!("healed{:x}", rand::random::<u64>()));
+                let ask =
+                    RequestSpec::completion(MODEL, &format!("healed{:x}", rand::random::<u64>()));
                 world.send(0, &ask).await.reply.outcome == Some(Outcome::Done)
             }));
     }
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -7,7 +7,7 @@
 
 use base::Outcome;
 use common::{Sent, Shape, World, row, until};
-use lab::caller::Ask;
+use lab::caller::RequestSpec;
 use lab::layout::Layout;
 use lab::standin::relay::LinkState;
 use store::MemberState;
@@ -35,7 +35,7 @@
     for i in 0..30 {
         sent.push(
             world
-                .send(i % 2, &Ask::completion(MODEL, &format!("new{i}")))
+                .send(i % 2, &RequestSpec::completion(MODEL, &format!("new{i}")))
                 .await,
         );
     }
@@ -150,19 +150,19 @@
                 let mut i = n;
                 while !stop.load(Ordering::Relaxed) {
                     i += 1;
-                    let plain = Ask::completion(MODEL, &format!("rolling-{n}-{i}"));
+                    let plain = RequestSpec::completion(MODEL, &format!("rolling-{n}-{i}"));
                     let ask = match i % 3 {
-                        0 => Ask {
+                        0 => RequestSpec {
                             stream: true,
                             tokens: 400,
                             ..plain
                         },
-                        1 => Ask {
+                        1 => RequestSpec {
                             mark_unsafe: true,
                             tokens: 300,
                             ..plain
                         },
-                        _ => Ask {
+                        _ => RequestSpec {
                             key: Some(plain.marker.clone()),
                             tokens: 20,
                             ..plain
--- a/crates/cli/tests/malformed.rs
+++ b/crates/cli/tests/malformed.rs
@@ -8,7 +8,7 @@
 
 use base::Outcome;
 use common::{Shape, World, row};
-use lab::caller::Ask;
+use lab::caller::RequestSpec;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::TestRunner;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -90,16 +90,16 @@
     let (entry, agent) = (world.entry(0), world.upstream(0));
     let ports = [
         entry.listen,
-        world.layout.bound(entry.control),
-        world.layout.bound(agent.listen),
-        world.layout.bound(agent.peer),
+        world.layout.listen_addr(entry.control),
+        world.layout.listen_addr(agent.listen),
+        world.layout.listen_addr(agent.peer),
     ];
     let mut all = inputs(INPUTS * ports.len());
     for (i, port) in ports.into_iter().enumerate() {
         let answered = feed_all(port, all.split_off(all.len() - INPUTS)).await;
         println!("{port}: {answered} of {INPUTS} were answered, the others closed");
         let s = world
-            .send(0, &Ask::completion(MODEL, &format!("after{i}")))
+            .send(0, &RequestSpec::completion(MODEL, &format!("after{i}")))
             .await;
         assert_eq!(s.reply.outcome, Some(Outcome::Done), "{s:?}");
     }
@@ -131,7 +131,9 @@
     let mut slow_body = TcpStream::connect(to).await.expect("open");
     let head = b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{";
     slow_body.write_all(head).await.expect("sent");
-    let others = world.send(0, &Ask::completion(MODEL, "others")).await;
+    let others = world
+        .send(0, &RequestSpec::completion(MODEL, "others"))
+        .await;
     assert_eq!(others.reply.outcome, Some(Outcome::Done), "{others:?}");
     let read = async |mut stream: TcpStream| {
         let mut answer = vec![0; 4096];
@@ -149,7 +151,7 @@
         closed.is_empty() || closed.starts_with("HTTP/1.1 4"),
         "{closed}"
     );
-    let large = Ask::completion(MODEL, &"x".repeat(8000));
+    let large = RequestSpec::completion(MODEL, &"x".repeat(8000));
     let s = world.send(0, &large).await;
     assert_eq!(
         (s.reply.status, s.reply.code.as_str()),
--- a/crates/cli/tests/outcomes.rs
+++ b/crates/cli/tests/outcomes.rs
@@ -5,7 +5,7 @@
 use base::Outcome;
 use common::{Sent, Shape, World, row, until};
 use http_body_util::BodyExt;
-use lab::caller::Ask;
+use lab::caller::RequestSpec;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
 
@@ -21,16 +21,16 @@
     world
 }
 
-fn keyed(marker: &str) -> Ask {
-    Ask {
+fn keyed(marker: &str) -> RequestSpec {
+    RequestSpec {
         key: Some(format!("key-{marker}")),
         mark_unsafe: true,
-        ..Ask::completion(MODEL, marker)
+        ..RequestSpec::completion(MODEL, marker)
     }
 }
 
-fn slow(ask: Ask) -> Ask {
-    Ask { tokens: 400, ..ask }
+fn slow(ask: RequestSpec) -> RequestSpec {
+    RequestSpec { tokens: 400, ..ask }
 }
 
 /// Waits until a marker runs somewhere; the VM.
@@ -49,14 +49,14 @@
     let world = ready_world(Shape::default()).await;
     let mut sent = Vec::new();
     for i in 0..40 {
-        let plain = Ask::completion(MODEL, &format!("whole{i}"));
+        let plain = RequestSpec::completion(MODEL, &format!("whole{i}"));
         let ask = match i % 4 {
             0 => plain,
-            1 => Ask {
+            1 => RequestSpec {
                 stream: true,
                 ..plain
             },
-            2 => Ask {
+            2 => RequestSpec {
                 mark_unsafe: true,
                 ..plain
             },
@@ -94,7 +94,7 @@
 async fn a_key_with_another_body_is_refused() {
     let world = ready_world(Shape::default()).await;
     let first = world.send(0, &keyed("one")).await;
-    let other = Ask {
+    let other = RequestSpec {
         key: Some("key-one".into()),
         ..keyed("two")
     };
@@ -129,7 +129,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_killed_in_mid_request_leaves_an_unsafe_one_unknown_and_a_safe_one_done() {
     let mut world = ready_world(Shape::default()).await;
-    let (unsafe_ask, safe_ask) = (slow(keyed("killed")), slow(Ask::completion(MODEL, "saved")));
+    let (unsafe_ask, safe_ask) = (
+        slow(keyed("killed")),
+        slow(RequestSpec::completion(MODEL, "saved")),
+    );
     let entry = world.entry(0).listen;
     let client = world.client.clone();
     let (u, s) = (unsafe_ask.clone(), safe_ask.clone());
@@ -217,10 +220,10 @@
         down: true,
         ..Faults::default()
     });
-    let safe = world.send(0, &Ask::completion(MODEL, "safe")).await;
-    let once = Ask {
+    let safe = world.send(0, &RequestSpec::completion(MODEL, "safe")).await;
+    let once = RequestSpec {
         mark_unsafe: true,
-        ..Ask::completion(MODEL, "once")
+        ..RequestSpec::completion(MODEL, "once")
     };
     let once = world.send(1, &once).await;
     let keyed = world.send(0, &keyed("refused")).await;
@@ -252,7 +255,7 @@
     world.signal(&vm, "CONT");
     until("the agent to serve again", async || {
         world
-            .send(0, &Ask::completion(MODEL, "thawed"))
+            .send(0, &RequestSpec::completion(MODEL, "thawed"))
             .await
             .reply
             .outcome
@@ -336,14 +339,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_hangs_up_ends_a_safe_run_and_not_an_unsafe_one() {
     let world = ready_world(Shape::default()).await;
-    let hang_up = async |ask: Ask| {
+    let hang_up = async |ask: RequestSpec| {
         let (client, entry, marker) = (world.client.clone(), world.entry(0), ask.marker.clone());
         let task =
             tokio::spawn(async move { lab::caller::send(&client, entry.listen, &ask).await });
         runs_at(&world, &marker).await;
         task.abort();
     };
-    hang_up(slow(Ask::completion(MODEL, "hungsafe"))).await;
+    hang_up(slow(RequestSpec::completion(MODEL, "hungsafe"))).await;
     hang_up(slow(keyed("hungkeyed"))).await;
     let running = || {
         world
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -4,7 +4,7 @@
 
 use base::Outcome;
 use common::{Shape, World, row, until};
-use lab::caller::Ask;
+use lab::caller::RequestSpec;
 
 const MODEL: &str = "changelog";
 
@@ -38,7 +38,9 @@
     world.signal(&vm, "HUP");
     let refused = async || world.log(&vm).contains("logs stay as they are");
     until("the faulty settings to be refused", refused).await;
-    let s = world.send(0, &Ask::completion(MODEL, "still")).await;
+    let s = world
+        .send(0, &RequestSpec::completion(MODEL, "still"))
+        .await;
     assert_eq!(s.reply.outcome, Some(Outcome::Done), "{s:?}");
 }
 
--- a/crates/cli/tests/weights.rs
+++ b/crates/cli/tests/weights.rs
@@ -8,7 +8,7 @@
 
 use base::Outcome;
 use common::{Sent, Shape, World, row, until};
-use lab::caller::Ask;
+use lab::caller::RequestSpec;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
 
@@ -40,8 +40,8 @@
                     let mut sent = Vec::new();
                     while !stop.load(Ordering::Relaxed) {
                         let i = sent.len();
-                        let plain = Ask::completion(MODEL, &format!("{name}-{i}"));
-                        let ask = Ask {
+                        let plain = RequestSpec::completion(MODEL, &format!("{name}-{i}"));
+                        let ask = RequestSpec {
                             stream: i % 2 == 0,
                             ..plain
                         };
@@ -84,7 +84,9 @@
     world.ready(MODEL, &version.to_string(), 2).await;
     let left = world.platform.origin.faults.get();
     assert_eq!((left.corrupt, left.truncate), (0, 0), "all faults were met");
-    let s = world.send(0, &Ask::completion(MODEL, "clean")).await;
+    let s = world
+        .send(0, &RequestSpec::completion(MODEL, "clean"))
+        .await;
     assert_eq!(s.reply.version, version.to_string());
     world.check(&[s]);
 }
@@ -264,10 +266,10 @@
     let before = versions_and_runs(&world, "fortaleza");
     for i in 0..10 {
         let here = world
-            .send(0, &Ask::completion(MODEL, &format!("here{i}")))
+            .send(0, &RequestSpec::completion(MODEL, &format!("here{i}")))
             .await;
         let there = world
-            .send(2, &Ask::completion(MODEL, &format!("there{i}")))
+            .send(2, &RequestSpec::completion(MODEL, &format!("there{i}")))
             .await;
         assert_eq!(here.reply.ran_in, "recife");
         assert_eq!(
@@ -312,7 +314,7 @@
     world.apply(&[row(MODEL, version, "recife")]).await;
     let ready = async || {
         world
-            .send(0, &Ask::completion(MODEL, "probe"))
+            .send(0, &RequestSpec::completion(MODEL, "probe"))
             .await
             .reply
             .outcome
@@ -329,7 +331,7 @@
     until("the other place to know of its replicas", known).await;
     for i in 0..10 {
         let s = world
-            .send(2, &Ask::completion(MODEL, &format!("outside{i}")))
+            .send(2, &RequestSpec::completion(MODEL, &format!("outside{i}")))
             .await;
         assert_eq!(s.reply.outcome, Some(Outcome::NotRun), "{s:?}");
         assert_eq!(s.reply.code, code, "{s:?}");
@@ -367,7 +369,7 @@
             .all(|(_, e)| e.state().loaded.contains(&version))
     };
     until("the permitted place to hold the weights", async || live()).await;
-    let peer = world.layout.bound(world.upstream(0).peer);
+    let peer = world.layout.listen_addr(world.upstream(0).peer);
     for (domain, status) in [("recife", 200), ("fortaleza", 403), ("", 403)] {
         let req = hyper::Request::builder()
             .uri(format!("/chunk/{version}/0"))
@@ -421,12 +423,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_agent_fenced_out_by_a_later_one_gives_no_more_orders() {
-    for honours_fences in [true, false] {
+    for enforces_fencing in [true, false] {
         let shape = Shape {
             engines: 1,
-            agent_lines: vec![format!("fencing: {honours_fences}")],
+            agent_lines: vec![format!("fencing: {enforces_fencing}")],
             behaviour: lab::standin::engine::Behaviour {
-                honours_fences,
+                enforces_fencing,
                 ..Default::default()
             },
             ..Shape::default()
@@ -457,7 +459,9 @@
             async || engine.state().loaded == vec![a],
         )
         .await;
-        let s = world.send(0, &Ask::completion(MODEL, "after")).await;
+        let s = world
+            .send(0, &RequestSpec::completion(MODEL, "after"))
+            .await;
         world.check(&[s]);
     }
 }
--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -10,15 +10,15 @@
 use serde::de::DeserializeOwned;
 use web::{Client, SendError, read_body};
 
-use crate::standin::engine::whole_text;
+use crate::standin::engine::complete_text;
 
 /// Longest wait for JSON, and its largest size in bytes.
-const ANSWER: Duration = Duration::from_secs(2);
-const MAX_ANSWER: usize = 64 << 20;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// What to ask for.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RequestSpec {
     /// Model or service.
     pub model: String,
     /// Word that only this request's answer may contain.
@@ -39,10 +39,10 @@
     pub service: Option<(Method, String)>,
 }
 
-impl Ask {
+impl RequestSpec {
     /// A completion.
-    pub fn completion(model: &str, marker: &str) -> Ask {
-        Ask {
+    pub fn completion(model: &str, marker: &str) -> RequestSpec {
+        RequestSpec {
             model: model.to_owned(),
             marker: marker.to_owned(),
             tokens: 4,
@@ -56,10 +56,10 @@
     }
 
     /// A call of a plain service.
-    pub fn service(name: &str, method: Method, path: &str, marker: &str) -> Ask {
-        Ask {
+    pub fn service(name: &str, method: Method, path: &str, marker: &str) -> RequestSpec {
+        RequestSpec {
             service: Some((method, path.to_owned())),
-            ..Ask::completion(name, marker)
+            ..RequestSpec::completion(name, marker)
         }
     }
 
@@ -119,31 +119,31 @@
     /// Body.
     pub body: String,
     /// Time to the first byte of the body.
-    pub first: Duration,
+    pub first_byte: Duration,
     /// Time to the end.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
 
 impl Reply {
     /// What is wrong with an answer that says `done`; `None` where it is right and whole.
-    pub fn fault(&self, ask: &Ask) -> Option<String> {
+    pub fn mismatch(&self, ask: &RequestSpec) -> Option<String> {
         if self.outcome != Some(Outcome::Done) {
             return None;
         }
         let right = match (&ask.service, ask.stream) {
             (Some(_), _) => self.body.contains(&ask.marker),
             (None, true) => {
-                streamed_text(&self.body) == whole_text(&ask.marker, ask.tokens)
+                streamed_text(&self.body) == complete_text(&ask.marker, ask.tokens)
                     && self.body.ends_with("data: [DONE]\n\n")
             }
-            (None, false) => self.body.contains(&whole_text(&ask.marker, ask.tokens)),
+            (None, false) => self.body.contains(&complete_text(&ask.marker, ask.tokens)),
         };
         (!right).then(|| format!("{} got {:?}", ask.marker, self.body))
     }
 }
 
 /// Sends a request to an entry and reads all of its answer.
-pub async fn send(client: &Client, to: SocketAddr, ask: &Ask) -> Reply {
+pub async fn send(client: &Client, to: SocketAddr, ask: &RequestSpec) -> Reply {
     let begun = Instant::now();
     let within = ask.deadline + Duration::from_secs(5);
     match client.send(to, ask.request(), within).await {
@@ -158,8 +158,8 @@
             ran_in: String::new(),
             version: String::new(),
             body: String::new(),
-            first: begun.elapsed(),
-            took: begun.elapsed(),
+            first_byte: begun.elapsed(),
+            elapsed: begun.elapsed(),
         },
     }
 }
@@ -172,12 +172,12 @@
             .to_owned()
     };
     let mut buf = Vec::new();
-    let mut first = None;
+    let mut first_byte = None;
     let mut broken = false;
     while let Some(frame) = body.frame().await {
         match frame.map(|f| f.into_data()) {
             Ok(Ok(data)) => {
-                first.get_or_insert_with(|| begun.elapsed());
+                first_byte.get_or_insert_with(|| begun.elapsed());
                 buf.extend_from_slice(&data);
             }
             Ok(Err(_)) => {}
@@ -201,8 +201,8 @@
         replayed: text(header::REPLAYED) == "true",
         ran_in: text(header::RAN_IN),
         version: text(header::VERSION),
-        first: first.unwrap_or_else(|| begun.elapsed()),
-        took: begun.elapsed(),
+        first_byte: first_byte.unwrap_or_else(|| begun.elapsed()),
+        elapsed: begun.elapsed(),
         body,
     }
 }
@@ -230,9 +230,15 @@
 }
 
 /// Asks an address for JSON; `None` where none comes.
-pub async fn get<T: DeserializeOwned>(client: &Client, addr: SocketAddr, path: &str) -> Option<T> {
+pub async fn get_json<T: DeserializeOwned>(
+    client: &Client,
+    addr: SocketAddr,
+    path: &str,
+) -> Option<T> {
     let req = Request::builder().uri(path).body(web::empty()).ok()?;
-    let res = client.send(addr, req, ANSWER).await.ok()?;
-    let buf = read_body(res.into_body(), MAX_ANSWER, ANSWER).await.ok()?;
+    let res = client.send(addr, req, RESPONSE_TIMEOUT).await.ok()?;
+    let buf = read_body(res.into_body(), MAX_RESPONSE_BYTES, RESPONSE_TIMEOUT)
+        .await
+        .ok()?;
     serde_json::from_slice(&buf).ok()
 }
--- a/crates/lab/src/commands/control.rs
+++ b/crates/lab/src/commands/control.rs
@@ -24,7 +24,7 @@
 const THREADS: usize = 2;
 
 /// Longest wait for agents to join or an edition to be in force.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Time between two looks.
 const LOOK: Duration = Duration::from_millis(2);
@@ -205,7 +205,7 @@
 async fn all_have(fleet: &[Arc<Agent>], revision: u64) -> Result<(), LabError> {
     let begun = Instant::now();
     while !fleet.iter().all(|a| a.active_table.revision() >= revision) {
-        if begun.elapsed() > PATIENCE {
+        if begun.elapsed() > WAIT_TIMEOUT {
             return Err(LabError::Failed(format!(
                 "revision {revision} is not in force everywhere"
             )));
@@ -222,11 +222,11 @@
     for e in layout.entry_vms() {
         loop {
             let status: Option<entry::admin::Status> =
-                lab::caller::get(&client, e.admin, "/status").await;
+                lab::caller::get_json(&client, e.admin, "/status").await;
             if status.is_some_and(|s| s.upstreams.len() >= agents) {
                 break;
             }
-            if begun.elapsed() > PATIENCE {
+            if begun.elapsed() > WAIT_TIMEOUT {
                 return Err(LabError::Failed(format!("not all agents joined {}", e.vm)));
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/lab/src/commands/ready.rs
+++ b/crates/lab/src/commands/ready.rs
@@ -4,7 +4,7 @@
 
 use base::Digest;
 use entry::admin::Status;
-use lab::caller::get;
+use lab::caller::get_json;
 use lab::layout::Layout;
 use lab::standin::origin::OriginStats;
 use pico_args::Arguments;
@@ -64,7 +64,7 @@
     json: bool,
 ) -> Result<(), LabError> {
     let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
-    let stats: Option<OriginStats> = get(&client, layout.platform().origin, "/stats").await;
+    let stats: Option<OriginStats> = get_json(&client, layout.platform().origin, "/stats").await;
     let ready = Ready {
         replicas,
         ready_s: took.as_secs_f64(),
@@ -83,7 +83,7 @@
     let version = version.to_string();
     let mut seen: std::collections::BTreeMap<String, (bool, u16)> = Default::default();
     for e in layout.entry_vms() {
-        let Some(status) = get::<Status>(&client, e.admin, "/status").await else {
+        let Some(status) = get_json::<Status>(&client, e.admin, "/status").await else {
             continue;
         };
         for u in &status.upstreams {
--- a/crates/lab/src/commands/rollout.rs
+++ b/crates/lab/src/commands/rollout.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use base::Digest;
-use lab::caller::{Ask, send};
-use lab::deployment::{Deployment, PATIENCE, Plan};
+use lab::caller::{RequestSpec, send};
+use lab::deployment::{Deployment, Plan, WAIT_TIMEOUT};
 use lab::standin::engine::Behaviour;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
@@ -187,14 +187,20 @@
     }
 
     async fn loaded(&self, version: Digest, lost: &[IpAddr]) -> Result<Vec<Duration>, LabError> {
-        self.deployment.loaded(version, lost).await.map_err(failed)
+        self.deployment
+            .wait_until_loaded(version, lost)
+            .await
+            .map_err(failed)
     }
 
     async fn measure(&self, o: &Options) -> Result<Report, LabError> {
         let small = self.publish(o, 0, 64 << 10)?;
         self.apply(&[(LIVE, small)]).await?;
         self.loaded(small, &[]).await?;
-        self.deployment.until_live(LIVE).await.map_err(failed)?;
+        self.deployment
+            .wait_until_live(LIVE)
+            .await
+            .map_err(failed)?;
         let quiet = self.live_for(QUIET).await;
         let mut version = self.publish(o, 1, o.size)?;
         let before = self.deployment.platform.origin.weights.stats().bytes;
@@ -264,7 +270,7 @@
             staged.sum::<usize>() / self.deployment.engines.len()
         };
         while mean() < chunks / 3 {
-            if begun.elapsed() > PATIENCE {
+            if begun.elapsed() > WAIT_TIMEOUT {
                 return Err(failed("the rollout doesn't begin"));
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -283,16 +289,18 @@
         match o.fault {
             Fault::None => {}
             Fault::Kill => {
-                self.deployment.board.lose(victim.listen.ip());
+                self.deployment
+                    .switchboard
+                    .disconnect_vm(victim.listen.ip());
                 return Ok(vec![victim.listen.ip()]);
             }
             Fault::Stall => self
                 .deployment
-                .board
+                .switchboard
                 .set_towards(victim.peer, LinkState::Stalled),
             Fault::Corrupt => {
                 self.deployment
-                    .board
+                    .switchboard
                     .set_towards(victim.peer, LinkState::Corrupt);
                 self.deployment.platform.origin.faults.set(Faults {
                     corrupt: 3,
@@ -322,13 +330,13 @@
         let side = |d: usize| self.deployment.layout.base + d as u8;
         for other in 1..self.deployment.layout.domains.len() {
             self.deployment
-                .board
+                .switchboard
                 .set(side(0), side(other), LinkState::Cut);
         }
-        let board = self.deployment.board.clone();
+        let switchboard = self.deployment.switchboard.clone();
         tokio::spawn(async move {
             tokio::time::sleep(span).await;
-            board.heal();
+            switchboard.heal();
         });
     }
 
@@ -346,7 +354,7 @@
         let mut pulls = JoinSet::new();
         for e in &self.deployment.engines {
             let dial = DialOptions {
-                timeout: PATIENCE,
+                timeout: WAIT_TIMEOUT,
                 keep_alive: true,
                 source: Some(e.ip()),
             };
@@ -394,7 +402,7 @@
                 tick.tick().await;
                 for entry in entries.clone() {
                     let client = client.clone();
-                    let ask = Ask::completion(LIVE, &format!("live{n}"));
+                    let ask = RequestSpec::completion(LIVE, &format!("live{n}"));
                     n += 1;
                     sent.spawn(async move { (send(&client, entry, &ask).await, ask) });
                 }
@@ -402,9 +410,9 @@
             let mut live = Live::default();
             while let Some(Ok((reply, ask))) = sent.join_next().await {
                 let whole =
-                    reply.outcome == Some(base::Outcome::Done) && reply.fault(&ask).is_none();
+                    reply.outcome == Some(base::Outcome::Done) && reply.mismatch(&ask).is_none();
                 match whole {
-                    true => live.took.push(reply.took),
+                    true => live.took.push(reply.elapsed),
                     false => live.not_done += 1,
                 }
             }
--- a/crates/lab/src/commands/route.rs
+++ b/crates/lab/src/commands/route.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use base::Outcome;
-use lab::caller::{Ask, Reply, send};
+use lab::caller::{Reply, RequestSpec, send};
 use lab::deployment::{Deployment, Plan};
 use lab::standin::engine::Behaviour;
 use lab::standin::fault::Faults;
@@ -160,8 +160,11 @@
         .apply(&[(MODEL, version)])
         .await
         .map_err(failed)?;
-    deployment.loaded(version, &[]).await.map_err(failed)?;
-    deployment.until_live(MODEL).await.map_err(failed)?;
+    deployment
+        .wait_until_loaded(version, &[])
+        .await
+        .map_err(failed)?;
+    deployment.wait_until_live(MODEL).await.map_err(failed)?;
     let over = Arc::new(AtomicBool::new(false));
     cause(&deployment, fault, over.clone());
     let rate = capacity() * load;
@@ -181,7 +184,7 @@
     match fault {
         Fault::None | Fault::Lag => {}
         Fault::Slow => victim.engine.slow_down(SLOW),
-        Fault::Dead => deployment.board.lose(victim.ip()),
+        Fault::Dead => deployment.switchboard.disconnect_vm(victim.ip()),
         Fault::Cut => deployment.platform.table.faults.set(Faults {
             down: true,
             ..Faults::default()
@@ -207,7 +210,7 @@
     span: Duration,
     seed: u64,
     name: &str,
-) -> Vec<(Ask, Reply)> {
+) -> Vec<(RequestSpec, Reply)> {
     let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let entries: Vec<_> = deployment
         .layout
@@ -222,11 +225,11 @@
         tokio::time::sleep_until((begun + Duration::from_secs_f64(i as f64 / rate)).into()).await;
         // Prefixes are asked for unevenly: the low numbers more often.
         let prefix = (PREFIXES as f64 * rng.random::<f64>().powi(2)) as usize;
-        let ask = Ask {
+        let ask = RequestSpec {
             stream: true,
             tokens: TOKENS,
             deadline: Duration::from_secs(5),
-            ..Ask::completion(MODEL, &format!("{name}-prefix-{prefix:04}"))
+            ..RequestSpec::completion(MODEL, &format!("{name}-prefix-{prefix:04}"))
         };
         let (client, entry) = (client.clone(), entries[i % entries.len()]);
         calls.spawn(async move { (ask.clone(), send(&client, entry, &ask).await) });
@@ -242,20 +245,20 @@
     policy: &'static str,
     fault: Fault,
     load: f64,
-    replies: &[(Ask, Reply)],
+    replies: &[(RequestSpec, Reply)],
     took: f64,
     hits: u64,
 ) -> Row {
     let with = |o: Outcome| replies.iter().filter(|(_, r)| r.outcome == Some(o)).count();
     let wrong = replies
         .iter()
-        .filter(|(ask, r)| r.fault(ask).is_some())
+        .filter(|(ask, r)| r.mismatch(ask).is_some())
         .count();
     let done = with(Outcome::Done) - wrong;
     let mut first: Vec<f64> = replies
         .iter()
         .filter(|(_, r)| r.outcome == Some(Outcome::Done))
-        .map(|(_, r)| r.first.as_secs_f64() * 1e3)
+        .map(|(_, r)| r.first_byte.as_secs_f64() * 1e3)
         .collect();
     first.sort_by(f64::total_cmp);
     let at = |q: f64| {
--- a/crates/lab/src/commands/send.rs
+++ b/crates/lab/src/commands/send.rs
@@ -6,7 +6,7 @@
 
 use base::Outcome;
 use hyper::Method;
-use lab::caller::{Ask, Reply, get, send};
+use lab::caller::{Reply, RequestSpec, get_json, send};
 use lab::layout::{EntryVm, Layout};
 use lab::standin::engine::Run;
 use lab::standin::service::CallRecord;
@@ -48,7 +48,7 @@
 struct Sent {
     kind: &'static str,
     domain: String,
-    ask: Ask,
+    ask: RequestSpec,
     reply: Reply,
 }
 
@@ -117,31 +117,34 @@
     }
 }
 
-fn ask(kind: &str, model: &str, marker: &str) -> Ask {
-    let plain = Ask::completion(model, marker);
+fn ask(kind: &str, model: &str, marker: &str) -> RequestSpec {
+    let plain = RequestSpec::completion(model, marker);
     match kind {
-        "stream" => Ask {
+        "stream" => RequestSpec {
             stream: true,
             tokens: 16,
             ..plain
         },
-        "unsafe" => Ask {
+        "unsafe" => RequestSpec {
             mark_unsafe: true,
             ..plain
         },
-        "keyed twice" => Ask {
+        "keyed twice" => RequestSpec {
             mark_unsafe: true,
             key: Some(marker.to_owned()),
             ..plain
         },
-        "service call" => Ask::service("registry", Method::POST, "/publish", marker),
+        "service call" => RequestSpec::service("registry", Method::POST, "/publish", marker),
         _ => plain,
     }
 }
 
 /// What is wrong with the answers, by themselves and against the ledgers.
 async fn faults(layout: &Layout, sent: &[Sent]) -> Vec<String> {
-    let mut faults: Vec<String> = sent.iter().filter_map(|s| s.reply.fault(&s.ask)).collect();
+    let mut faults: Vec<String> = sent
+        .iter()
+        .filter_map(|s| s.reply.mismatch(&s.ask))
+        .collect();
     let runs = runs(layout).await;
     for s in sent {
         let n = runs.get(&s.ask.marker).copied().unwrap_or(0);
@@ -172,13 +175,13 @@
     let mut runs = BTreeMap::new();
     for u in layout.upstream_vms() {
         let markers: Vec<String> = match u.service {
-            true => get::<Vec<CallRecord>>(&client, u.upstream, "/ledger")
+            true => get_json::<Vec<CallRecord>>(&client, u.upstream, "/ledger")
                 .await
                 .unwrap_or_default()
                 .into_iter()
                 .map(|c| c.body)
                 .collect(),
-            false => get::<Vec<Run>>(&client, u.upstream, "/ledger")
+            false => get_json::<Vec<Run>>(&client, u.upstream, "/ledger")
                 .await
                 .unwrap_or_default()
                 .into_iter()
@@ -199,7 +202,7 @@
             .entry(format!("{} {}", s.domain, s.kind))
             .or_default();
         tally.sent += 1;
-        tally.took.push(s.reply.took);
+        tally.took.push(s.reply.elapsed);
         match s.reply.outcome {
             Some(Outcome::Done) => tally.done += 1,
             Some(Outcome::NotRun) => tally.not_run += 1,
--- a/crates/lab/src/commands/standins.rs
+++ b/crates/lab/src/commands/standins.rs
@@ -17,7 +17,7 @@
     let rate = args.opt_value_from_str("--origin-rate")?;
     finish(args)?;
     let (_tx, stop) = watch::channel(false);
-    let platform = Platform::start(layout.platform_bound(), rate, stop).await?;
+    let platform = Platform::start(layout.platform_listen_addrs(), rate, stop).await?;
     platform.set_members(&layout.members());
     until_term().await
 }
@@ -25,7 +25,7 @@
 pub async fn engine(mut args: Arguments) -> Result<(), LabError> {
     let listen: SocketAddr = args.value_from_str("--listen")?;
     let mut behaviour = Behaviour {
-        honours_fences: !args.contains("--ignore-fences"),
+        enforces_fencing: !args.contains("--ignore-fences"),
         ..Behaviour::default()
     };
     if let Some(token) = duration(&mut args, "--token")? {
--- a/crates/lab/src/commands/wire.rs
+++ b/crates/lab/src/commands/wire.rs
@@ -51,7 +51,7 @@
     };
     let deployment = Deployment::start(&plan).await.map_err(failed)?;
     let layout = &deployment.layout;
-    let control = layout.bound(layout.entry_vms()[0].control);
+    let control = layout.listen_addr(layout.entry_vms()[0].control);
     let http = SocketAddr::new(control.ip(), 9090);
     let (_tx, stop) = watch::channel(false);
     lab::standin::serve(http, stop, |req| async {
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -16,14 +16,14 @@
 use web::{Client, DialOptions};
 use weights::Manifest;
 
-use crate::caller::{Ask, send};
+use crate::caller::{RequestSpec, send};
 use crate::layout::{Layout, UpstreamVm};
 use crate::standin::engine::{Behaviour, Engine};
 use crate::standin::platform::Platform;
 use crate::standin::relay::Switchboard;
 
 /// Longest wait for anything.
-pub const PATIENCE: Duration = Duration::from_secs(300);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Why a deployment failed.
 #[derive(Debug, Display)]
@@ -91,7 +91,7 @@
     /// Platform.
     pub platform: Platform,
     /// Links.
-    pub board: Switchboard,
+    pub switchboard: Switchboard,
     /// Upstream VMs.
     pub engines: Vec<EngineVm>,
     _stop: watch::Sender<bool>,
@@ -105,20 +105,20 @@
         layout.domains.truncate(plan.domains);
         layout.relayed = true;
         let (stop_tx, stop) = watch::channel(false);
-        let platform = Platform::start(layout.platform_bound(), None, stop.clone()).await?;
+        let platform = Platform::start(layout.platform_listen_addrs(), None, stop.clone()).await?;
         platform.set_members(&layout.members());
-        let board = Switchboard::default();
+        let switchboard = Switchboard::default();
         let p = layout.platform();
         for addr in [p.table, p.objects, p.members, p.origin] {
-            board.relay(addr, layout.bound(addr)).await?;
+            switchboard.relay(addr, layout.listen_addr(addr)).await?;
         }
         if let Some((_, origin)) = plan.rates {
-            board.pace(p.origin.ip(), origin, origin);
+            switchboard.set_vm_rate(p.origin.ip(), origin, origin);
         }
         let mut deployment = Deployment {
             layout,
             platform,
-            board,
+            switchboard,
             engines: Vec::new(),
             _stop: stop_tx,
         };
@@ -129,8 +129,8 @@
 
     async fn start_entries(&self, plan: &Plan, stop: &web::StopSignal) -> Result<(), DeployError> {
         for e in self.layout.entry_vms() {
-            let bound = self.layout.bound(e.control);
-            self.board.relay(e.control, bound).await?;
+            let bound = self.layout.listen_addr(e.control);
+            self.switchboard.relay(e.control, bound).await?;
             let text = self.layout.entry_settings(&e, &plan.entry_lines);
             match settings::check(&text) {
                 Ok(Settings::Entry(cfg)) => {
@@ -149,10 +149,12 @@
     ) -> Result<(), DeployError> {
         for vm in self.layout.upstream_vms().into_iter().take(plan.vms) {
             if let Some((rate, _)) = plan.rates {
-                self.board.pace(vm.listen.ip(), rate, rate);
+                self.switchboard.set_vm_rate(vm.listen.ip(), rate, rate);
             }
             for addr in [vm.listen, vm.peer] {
-                self.board.relay(addr, self.layout.bound(addr)).await?;
+                self.switchboard
+                    .relay(addr, self.layout.listen_addr(addr))
+                    .await?;
             }
             let engine = Engine::start(vm.upstream, plan.behaviour, stop.clone()).await?;
             let text = self.layout.agent_settings(&vm, &plan.agent_lines);
@@ -182,7 +184,7 @@
 
     /// Puts rows in force, each permitted everywhere.
     pub async fn apply(&self, rows: &[(&str, Digest)]) -> Result<(), DeployError> {
-        let table = self.layout.platform_bound().table;
+        let table = self.layout.platform_listen_addrs().table;
         let tables = Tables::new(Kv::new(
             table,
             DialOptions::with_timeout(Duration::from_secs(2)),
@@ -200,7 +202,7 @@
     }
 
     /// Waits until a version is loaded on all VMs but those lost; the times, sorted.
-    pub async fn loaded(
+    pub async fn wait_until_loaded(
         &self,
         version: Digest,
         lost: &[IpAddr],
@@ -217,7 +219,7 @@
                 }
                 !loaded
             });
-            if begun.elapsed() > PATIENCE {
+            if begun.elapsed() > WAIT_TIMEOUT {
                 return Err(failed(format!("{} VMs are not ready", left.len())));
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -226,16 +228,16 @@
     }
 
     /// Waits until all entries serve a model.
-    pub async fn until_live(&self, model: &str) -> Result<(), DeployError> {
+    pub async fn wait_until_live(&self, model: &str) -> Result<(), DeployError> {
         let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
         let begun = Instant::now();
         for e in self.layout.entry_vms() {
-            while send(&client, e.listen, &Ask::completion(model, "probe"))
+            while send(&client, e.listen, &RequestSpec::completion(model, "probe"))
                 .await
                 .status
                 != 200
             {
-                if begun.elapsed() > PATIENCE {
+                if begun.elapsed() > WAIT_TIMEOUT {
                     return Err(failed(format!("{} doesn't serve", e.vm)));
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/lab/src/layout.rs
+++ b/crates/lab/src/layout.rs
@@ -93,7 +93,7 @@
     }
 
     /// The address a process listens on, given the one it is known by.
-    pub fn bound(&self, known: SocketAddr) -> SocketAddr {
+    pub fn listen_addr(&self, known: SocketAddr) -> SocketAddr {
         match self.relayed {
             true => SocketAddr::new(known.ip(), known.port() + BEHIND_RELAY),
             false => known,
@@ -101,13 +101,13 @@
     }
 
     /// Addresses the platform's stand-in listens on.
-    pub fn platform_bound(&self) -> Addrs {
+    pub fn platform_listen_addrs(&self) -> Addrs {
         let known = self.platform();
         Addrs {
-            table: self.bound(known.table),
-            objects: self.bound(known.objects),
-            members: self.bound(known.members),
-            origin: self.bound(known.origin),
+            table: self.listen_addr(known.table),
+            objects: self.listen_addr(known.objects),
+            members: self.listen_addr(known.members),
+            origin: self.listen_addr(known.origin),
         }
     }
 
@@ -203,7 +203,7 @@
 
     /// Where a process listens, and where it is reached if that differs.
     fn write_addr(&self, s: &mut String, field: &str, known: SocketAddr) {
-        let _ = writeln!(s, "{field}: {}", self.bound(known));
+        let _ = writeln!(s, "{field}: {}", self.listen_addr(known));
         if self.relayed {
             let _ = writeln!(s, "{field}_advertised: {known}");
         }
--- a/crates/lab/src/standin/engine.rs
+++ b/crates/lab/src/standin/engine.rs
@@ -18,8 +18,8 @@
 use serde::{Deserialize, Serialize};
 use web::{Request, Response, StopSignal, read_body};
 
-use super::fault::FaultBox;
-use super::platform::admin;
+use super::fault::SharedFaults;
+use super::platform::fault_request;
 
 /// Largest body, in bytes.
 const MAX_BODY: usize = 64 << 20;
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Behaviour {
     /// Whether it refuses orders with an old fencing number.
-    pub honours_fences: bool,
+    pub enforces_fencing: bool,
     /// Time of one token with one request running.
     pub token: Duration,
     /// Requests it runs at once.
@@ -55,7 +55,7 @@
 impl Default for Behaviour {
     fn default() -> Behaviour {
         Behaviour {
-            honours_fences: true,
+            enforces_fencing: true,
             token: Duration::from_millis(2),
             slots: 64,
             load: Duration::from_millis(50),
@@ -94,7 +94,7 @@
 pub struct Engine {
     behaviour: Behaviour,
     /// Faults.
-    pub faults: FaultBox,
+    pub faults: SharedFaults,
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -118,7 +118,7 @@
     ) -> std::io::Result<Engine> {
         let engine = Engine {
             behaviour,
-            faults: FaultBox::default(),
+            faults: SharedFaults::default(),
             inner: Arc::default(),
         };
         engine.inner().incarnation = unix_ms();
@@ -193,7 +193,7 @@
             .and_then(|s| s.parse().ok())
             .unwrap_or(0);
         let mut inner = self.inner();
-        if fence < inner.fence && self.behaviour.honours_fences {
+        if fence < inner.fence && self.behaviour.enforces_fencing {
             let mut res = web::text(412, "old fencing number\n");
             web::set_header(
                 res.headers_mut(),
@@ -317,10 +317,10 @@
 }
 
 async fn handle(engine: Engine, req: Request) -> Response {
-    if let Some(set) = admin(&engine.faults, &req) {
-        return set.await_body(&engine.faults, req).await;
+    if let Some(set) = fault_request(&engine.faults, &req) {
+        return set.apply(&engine.faults, req).await;
     }
-    if let Some(res) = engine.faults.meet().await {
+    if let Some(res) = engine.faults.apply_to_request().await {
         return res;
     }
     let (head, body) = req.into_parts();
@@ -435,12 +435,12 @@
 }
 
 /// The text of the whole answer to a marker.
-pub fn whole_text(marker: &str, tokens: u32) -> String {
+pub fn complete_text(marker: &str, tokens: u32) -> String {
     (0..tokens).map(|i| token_text(marker, i)).collect()
 }
 
 fn whole_answer(marker: &str, tokens: u32) -> String {
-    let text = whole_text(marker, tokens);
+    let text = complete_text(marker, tokens);
     format!("{{\"object\":\"text_completion\",\"choices\":[{{\"text\":\"{text}\"}}]}}")
 }
 
--- a/crates/lab/src/standin/fault.rs
+++ b/crates/lab/src/standin/fault.rs
@@ -32,12 +32,12 @@
 
 /// Handle on the faults of a stand-in.
 #[derive(Debug, Clone, Default)]
-pub struct FaultBox {
+pub struct SharedFaults {
     faults: Arc<Mutex<Faults>>,
     writes: Arc<Mutex<Option<(Instant, u32)>>>,
 }
 
-impl FaultBox {
+impl SharedFaults {
     /// Sets the faults.
     pub fn set(&self, faults: Faults) {
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
@@ -52,7 +52,7 @@
     }
 
     /// Uses up one of a counted fault; `true` if there was one.
-    pub fn take(&self, count: impl Fn(&mut Faults) -> &mut u32) -> bool {
+    pub fn consume(&self, count: impl Fn(&mut Faults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         let n = count(&mut faults);
         let some = *n > 0;
@@ -76,7 +76,7 @@
     }
 
     /// Delays, hangs or refuses; `None` where the request goes on.
-    pub async fn meet(&self) -> Option<Response> {
+    pub async fn apply_to_request(&self) -> Option<Response> {
         let faults = self.get();
         if faults.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
--- a/crates/lab/src/standin/origin.rs
+++ b/crates/lab/src/standin/origin.rs
@@ -41,7 +41,7 @@
     }
 
     /// Waits until the link has carried the bytes.
-    pub async fn carry(&self, bytes: usize) {
+    pub async fn transmit(&self, bytes: usize) {
         let done = self.lock().queue(bytes);
         if let Some(done) = done {
             tokio::time::sleep_until(done.into()).await;
--- a/crates/lab/src/standin/platform.rs
+++ b/crates/lab/src/standin/platform.rs
@@ -12,7 +12,7 @@
 use store::kv::MAX_VALUE;
 use web::{Request, Response, StopSignal, read_body};
 
-use super::fault::{FaultBox, broken};
+use super::fault::{SharedFaults, broken};
 use super::kv::Store;
 use super::origin::{OriginStats, PacedLink, Weights};
 
@@ -41,7 +41,7 @@
     /// Values.
     pub store: Arc<Store>,
     /// Faults.
-    pub faults: FaultBox,
+    pub faults: SharedFaults,
 }
 
 /// The origin.
@@ -50,7 +50,7 @@
     /// Weights.
     pub weights: Arc<Weights>,
     /// Faults.
-    pub faults: FaultBox,
+    pub faults: SharedFaults,
     link: Arc<PacedLink>,
 }
 
@@ -89,7 +89,7 @@
             members: Service::default(),
             origin: Origin {
                 weights: Arc::default(),
-                faults: FaultBox::default(),
+                faults: SharedFaults::default(),
                 link: Arc::new(PacedLink::new(rate)),
             },
         };
@@ -116,15 +116,15 @@
 
 /// Answers as table service, object store or list of VMs.
 async fn values(service: Service, req: Request) -> Response {
-    if let Some(res) = admin(&service.faults, &req) {
-        return res.await_body(&service.faults, req).await;
+    if let Some(res) = fault_request(&service.faults, &req) {
+        return res.apply(&service.faults, req).await;
     }
     if req.uri().path() == "/stats" {
         let (reads, writes) = service.store.counts();
         let counts = Counts { reads, writes };
         return web::json(200, serde_json::to_string(&counts).expect("plain data"));
     }
-    if let Some(res) = service.faults.meet().await {
+    if let Some(res) = service.faults.apply_to_request().await {
         return res;
     }
     let (head, body) = req.into_parts();
@@ -162,14 +162,14 @@
     if !service.faults.allow_write() {
         return web::text(429, "too many writes\n");
     }
-    if service.faults.take(|f| &mut f.drop_writes) {
+    if service.faults.consume(|f| &mut f.drop_writes) {
         return broken();
     }
     let res = match head.method == Method::POST {
         true => commit(service, &buf),
         false => put(service, key, &head.headers, buf),
     };
-    match service.faults.take(|f| &mut f.lose_writes) {
+    match service.faults.consume(|f| &mut f.lose_writes) {
         true => broken(),
         false => res,
     }
@@ -206,14 +206,14 @@
 
 /// Answers as origin.
 async fn weights(origin: Origin, req: Request) -> Response {
-    if let Some(res) = admin(&origin.faults, &req) {
-        return res.await_body(&origin.faults, req).await;
+    if let Some(res) = fault_request(&origin.faults, &req) {
+        return res.apply(&origin.faults, req).await;
     }
     if req.uri().path() == "/stats" {
         let stats: OriginStats = origin.weights.stats();
         return web::json(200, serde_json::to_string(&stats).expect("plain data"));
     }
-    if let Some(res) = origin.faults.meet().await {
+    if let Some(res) = origin.faults.apply_to_request().await {
         return res;
     }
     let (head, body) = req.into_parts();
@@ -243,20 +243,20 @@
     let Some(buf) = buf else {
         return web::text(404, "no such range\n");
     };
-    origin.link.carry(buf.len()).await;
+    origin.link.transmit(buf.len()).await;
     let mut res = web::text(206, "");
-    *res.body_mut() = web::full(spoilt(&origin.faults, buf));
+    *res.body_mut() = web::full(apply_body_faults(&origin.faults, buf));
     res
 }
 
-/// The bytes, spoilt where a fault says so.
-pub fn spoilt(faults: &FaultBox, buf: Bytes) -> Bytes {
-    if faults.take(|f| &mut f.corrupt) {
+/// The bytes, apply_body_faults where a fault says so.
+pub fn apply_body_faults(faults: &SharedFaults, buf: Bytes) -> Bytes {
+    if faults.consume(|f| &mut f.corrupt) {
         let mut changed = BytesMut::from(&buf[..]);
         changed[0] ^= 1;
         return changed.freeze();
     }
-    match faults.take(|f| &mut f.truncate) {
+    match faults.consume(|f| &mut f.truncate) {
         true => buf.slice(..buf.len() / 2),
         false => buf,
     }
@@ -273,13 +273,13 @@
 pub struct SetFaults;
 
 /// Whether a request sets faults.
-pub fn admin(_faults: &FaultBox, req: &Request) -> Option<SetFaults> {
+pub fn fault_request(_faults: &SharedFaults, req: &Request) -> Option<SetFaults> {
     (req.uri().path() == "/fault" && req.method() == Method::PUT).then_some(SetFaults)
 }
 
 impl SetFaults {
     /// Reads and sets the faults.
-    pub async fn await_body(self, faults: &FaultBox, req: Request) -> Response {
+    pub async fn apply(self, faults: &SharedFaults, req: Request) -> Response {
         let Ok(buf) = read_body(req.into_body(), MAX_VALUE, BODY).await else {
             return web::text(400, "bad body\n");
         };
--- a/crates/lab/src/standin/relay.rs
+++ b/crates/lab/src/standin/relay.rs
@@ -59,9 +59,9 @@
 struct States {
     between: Map<(Side, Side), LinkState>,
     towards: Map<SocketAddr, LinkState>,
-    gone: Set<IpAddr>,
+    disconnected: Set<IpAddr>,
     /// How often the open connections towards an address fell silent.
-    silenced: Map<SocketAddr, u64>,
+    stalls: Map<SocketAddr, u64>,
 }
 
 /// The link of one VM, or towards one address, both ways.
@@ -119,7 +119,7 @@
     }
 
     /// Gives a VM's link a rate in bytes a second, each way.
-    pub fn pace(&self, vm: IpAddr, up: u64, down: u64) {
+    pub fn set_vm_rate(&self, vm: IpAddr, up: u64, down: u64) {
         let link = VmLink::new(Some(up), Some(down));
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.insert(vm, link);
@@ -127,7 +127,7 @@
 
     /// Gives the link towards an address a rate in bytes a second, each way, in place of that of its VM.
     /// Connections that were made before the first call aren't bound by it, later calls hold for all.
-    pub fn pace_towards(&self, addr: SocketAddr, rate: Option<u64>) {
+    pub fn set_rate_towards(&self, addr: SocketAddr, rate: Option<u64>) {
         let mut links = self.towards.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links.entry(addr);
         let link = link.or_insert_with(|| VmLink::new(rate, rate));
@@ -137,9 +137,9 @@
 
     /// Has the connections that are open towards an address carry nothing more, and stay open; new ones
     /// carry.
-    pub fn silence(&self, addr: SocketAddr) {
+    pub fn stall_open_connections(&self, addr: SocketAddr) {
         self.states.send_modify(|states| {
-            *states.silenced.entry(addr).or_default() += 1;
+            *states.stalls.entry(addr).or_default() += 1;
         });
     }
 
@@ -154,9 +154,9 @@
     }
 
     /// Takes a VM off the network for good.
-    pub fn lose(&self, vm: IpAddr) {
+    pub fn disconnect_vm(&self, vm: IpAddr) {
         self.states.send_modify(|states| {
-            states.gone.insert(vm);
+            states.disconnected.insert(vm);
         });
     }
 
@@ -169,14 +169,14 @@
     /// Starts a relay from an address to another.
     pub async fn relay(&self, from: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
         let mut listener = TcpListener::bind(from).await?;
-        let board = self.clone();
+        let switchboard = self.clone();
         tokio::spawn(async move {
             loop {
                 tokio::select! {
-                    () = board.accept(&listener, from, to) => return,
-                    () = board.refuses(from, true) => drop(listener),
+                    () = switchboard.accept(&listener, from, to) => return,
+                    () = switchboard.refuses(from, true) => drop(listener),
                 }
-                board.refuses(from, false).await;
+                switchboard.refuses(from, false).await;
                 listener = match TcpListener::bind(from).await {
                     Ok(listener) => listener,
                     Err(e) => panic!("the relay's own address {from} is taken: {e}"),
@@ -190,12 +190,12 @@
     async fn accept(&self, listener: &TcpListener, from: SocketAddr, to: SocketAddr) {
         while let Ok((near, caller)) = listener.accept().await {
             let states = self.states.subscribe();
-            let silenced = states.borrow().silenced(from);
+            let stalls = states.borrow().stalls(from);
             let link = Link {
                 states,
                 caller: caller.ip(),
                 to: from,
-                silenced,
+                stalls,
             };
             let far = self.link_towards(from);
             let ends = [
@@ -232,22 +232,23 @@
     caller: IpAddr,
     to: SocketAddr,
     /// How often connections had fallen silent before this one was made.
-    silenced: u64,
+    stalls: u64,
 }
 
 impl States {
-    fn silenced(&self, addr: SocketAddr) -> u64 {
-        self.silenced.get(&addr).copied().unwrap_or_default()
+    fn stalls(&self, addr: SocketAddr) -> u64 {
+        self.stalls.get(&addr).copied().unwrap_or_default()
     }
 }
 
 impl Link {
     fn state(&self) -> LinkState {
         let states = self.states.borrow();
-        if states.gone.contains(&self.caller) || states.gone.contains(&self.to.ip()) {
+        if states.disconnected.contains(&self.caller) || states.disconnected.contains(&self.to.ip())
+        {
             return LinkState::Cut;
         }
-        if states.silenced(self.to) > self.silenced {
+        if states.stalls(self.to) > self.stalls {
             return LinkState::Stalled;
         }
         let sides = (side(self.caller), side(self.to.ip()));
@@ -328,7 +329,7 @@
         let carries = |s| s != LinkState::Stalled && !(back && s == LinkState::Deaf);
         way.link.until(carries).await;
         if let Some(up) = &up {
-            up.carry(n).await;
+            up.transmit(n).await;
         }
         if near.send(buf[..n].to_vec()).await.is_err() {
             break;
@@ -343,7 +344,7 @@
 ) {
     while let Some(buf) = far.recv().await {
         if let Some(down) = &down {
-            down.carry(buf.len()).await;
+            down.transmit(buf.len()).await;
         }
         if tx.write_all(&buf).await.is_err() {
             return;
--- a/crates/lab/src/standin/service.rs
+++ b/crates/lab/src/standin/service.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use web::{Request, Response, StopSignal, read_body};
 
-use super::fault::FaultBox;
-use super::platform::admin;
+use super::fault::SharedFaults;
+use super::platform::fault_request;
 
 /// A call in the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PlainService {
     /// Faults.
-    pub faults: FaultBox,
+    pub faults: SharedFaults,
     ledger: Arc<Mutex<Vec<CallRecord>>>,
 }
 
@@ -49,8 +49,8 @@
 }
 
 async fn handle(service: PlainService, req: Request) -> Response {
-    if let Some(set) = admin(&service.faults, &req) {
-        return set.await_body(&service.faults, req).await;
+    if let Some(set) = fault_request(&service.faults, &req) {
+        return set.apply(&service.faults, req).await;
     }
     if req.uri().path() == "/ledger" {
         return web::json(
@@ -70,7 +70,7 @@
     };
     service.lock().push(record.clone());
     // The call has run; a fault from here on loses its answer.
-    if let Some(res) = service.faults.meet().await {
+    if let Some(res) = service.faults.apply_to_request().await {
         return res;
     }
     web::json(200, serde_json::to_string(&record).expect("plain data"))
