--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests and holds each answer against what was asked.
+//! Client that sends requests to an entry and checks each response against its request.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,35 +12,35 @@
 
 use crate::standin::engine::complete_text;
 
-/// Longest wait for JSON, and its largest size in bytes.
+/// Timeout and maximum size, in bytes, of a JSON response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// What to ask for.
+/// Specification of a request.
 #[derive(Debug, Clone)]
 pub struct RequestSpec {
     /// Model or service.
     pub model: String,
-    /// Word that only this request's answer may contain.
+    /// Word that only the response to this request may contain.
     pub marker: String,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u32,
-    /// Whether to stream.
+    /// Whether the response is streamed.
     pub stream: bool,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Whether to mark it unsafe.
+    /// Whether the request is marked unsafe.
     pub mark_unsafe: bool,
     /// Workspace.
     pub workspace: String,
-    /// Time given.
+    /// Deadline, relative to sending.
     pub deadline: Duration,
-    /// Method and path, for a plain service.
+    /// Method and path of a call to a plain service; `None` for a completion.
     pub service: Option<(Method, String)>,
 }
 
 impl RequestSpec {
-    /// A completion.
+    /// Creates a completion of 4 tokens with a deadline of 10 s.
     pub fn completion(model: &str, marker: &str) -> RequestSpec {
         RequestSpec {
             model: model.to_owned(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A call of a plain service.
+    /// Creates a call to a plain service.
     pub fn service(name: &str, method: Method, path: &str, marker: &str) -> RequestSpec {
         RequestSpec {
             service: Some((method, path.to_owned())),
@@ -80,7 +80,7 @@
         };
         let mut req = Request::new(web::full(body));
         *req.method_mut() = method;
-        *req.uri_mut() = path.parse().expect("a path");
+        *req.uri_mut() = path.parse().expect("the path is a valid URI");
         let headers = req.headers_mut();
         web::set_header(headers, "content-type", "application/json");
         web::set_header(headers, header::WORKSPACE, &self.workspace);
@@ -99,58 +99,62 @@
     }
 }
 
-/// What came back.
+/// Response to a request, read to its end.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Status; 0 where none came.
+    /// Status; 0 without a response.
     pub status: u16,
-    /// Outcome told, at the end where that differs from the head; `None` where none was told.
+    /// Reported outcome, from the last event of a stream if it has one, else from the head; `not-run`
+    /// if the request was never sent; `None` if none was reported or the response broke off.
     pub outcome: Option<Outcome>,
-    /// Code of an error.
+    /// Error code.
     pub code: String,
-    /// Seconds to come back after.
+    /// Value of `retry-after`, in seconds.
     pub retry_after: Option<u64>,
-    /// Whether the answer was a recorded one.
+    /// Whether the response was replayed from a record.
     pub replayed: bool,
-    /// Failure domain that ran it.
+    /// Failure domain that ran the request.
     pub ran_in: String,
-    /// Version that ran it.
+    /// Version that ran the request.
     pub version: String,
     /// Body.
     pub body: String,
-    /// Time to the first byte of the body.
+    /// Time to the first part of the body.
     pub first_byte: Duration,
-    /// Time to the end.
+    /// Time to the end of the response.
     pub elapsed: Duration,
 }
 
 impl Reply {
-    /// What is wrong with an answer that says `done`; `None` where it is right and whole.
-    pub fn mismatch(&self, ask: &RequestSpec) -> Option<String> {
+    /// Describes what is wrong with a response of outcome `done`; `None` if it is correct and
+    /// complete, or has another outcome.
+    pub fn mismatch(&self, spec: &RequestSpec) -> Option<String> {
         if self.outcome != Some(Outcome::Done) {
             return None;
         }
-        let right = match (&ask.service, ask.stream) {
-            (Some(_), _) => self.body.contains(&ask.marker),
+        let is_correct = match (&spec.service, spec.stream) {
+            (Some(_), _) => self.body.contains(&spec.marker),
             (None, true) => {
-                streamed_text(&self.body) == complete_text(&ask.marker, ask.tokens)
+                streamed_text(&self.body) == complete_text(&spec.marker, spec.tokens)
                     && self.body.ends_with("data: [DONE]\n\n")
             }
-            (None, false) => self.body.contains(&complete_text(&ask.marker, ask.tokens)),
+            (None, false) => self
+                .body
+                .contains(&complete_text(&spec.marker, spec.tokens)),
         };
-        (!right).then(|| format!("{} got {:?}", ask.marker, self.body))
+        (!is_correct).then(|| format!("{} got {:?}", spec.marker, self.body))
     }
 }
 
-/// Sends a request to an entry and reads all of its answer.
-pub async fn send(client: &Client, to: SocketAddr, ask: &RequestSpec) -> Reply {
-    let begun = Instant::now();
-    let within = ask.deadline + Duration::from_secs(5);
-    match client.send(to, ask.request(), within).await {
-        Ok(res) => read(res, begun).await,
+/// Sends a request to an entry and reads the complete response.
+pub async fn send(client: &Client, to: SocketAddr, spec: &RequestSpec) -> Reply {
+    let start = Instant::now();
+    let timeout = spec.deadline + Duration::from_secs(5);
+    match client.send(to, spec.request(), timeout).await {
+        Ok(res) => read_reply(res, start).await,
         Err(e) => Reply {
             status: 0,
-            // No byte went out: the caller knows by itself that nothing ran.
+            // No byte was sent, which proves to the caller that nothing ran.
             outcome: matches!(e, SendError::NotSent(..)).then_some(Outcome::NotRun),
             code: e.to_string(),
             retry_after: None,
@@ -158,13 +162,13 @@
             ran_in: String::new(),
             version: String::new(),
             body: String::new(),
-            first_byte: begun.elapsed(),
-            elapsed: begun.elapsed(),
+            first_byte: start.elapsed(),
+            elapsed: start.elapsed(),
         },
     }
 }
 
-async fn read(res: hyper::Response<hyper::body::Incoming>, begun: Instant) -> Reply {
+async fn read_reply(res: hyper::Response<hyper::body::Incoming>, start: Instant) -> Reply {
     let (head, mut body) = res.into_parts();
     let text = |name: &str| {
         web::header(&head.headers, name)
@@ -173,54 +177,54 @@
     };
     let mut buf = Vec::new();
     let mut first_byte = None;
-    let mut broken = false;
+    let mut is_interrupted = false;
     while let Some(frame) = body.frame().await {
         match frame.map(|f| f.into_data()) {
             Ok(Ok(data)) => {
-                first_byte.get_or_insert_with(|| begun.elapsed());
+                first_byte.get_or_insert_with(|| start.elapsed());
                 buf.extend_from_slice(&data);
             }
             Ok(Err(_)) => {}
             Err(_) => {
-                broken = true;
+                is_interrupted = true;
                 break;
             }
         }
     }
     let body = String::from_utf8_lossy(&Bytes::from(buf)).into_owned();
     let outcome = match text("content-type").starts_with("text/event-stream") {
-        _ if broken => None,
+        _ if is_interrupted => None,
         true => last_outcome(&body).or(Outcome::parse(&text(header::OUTCOME))),
         false => Outcome::parse(&text(header::OUTCOME)),
     };
     Reply {
         status: head.status.as_u16(),
         outcome,
-        code: code(&body),
+        code: error_code(&body),
         retry_after: text("retry-after").parse().ok(),
         replayed: text(header::REPLAYED) == "true",
         ran_in: text(header::RAN_IN),
         version: text(header::VERSION),
-        first_byte: first_byte.unwrap_or_else(|| begun.elapsed()),
-        elapsed: begun.elapsed(),
+        first_byte: first_byte.unwrap_or_else(|| start.elapsed()),
+        elapsed: start.elapsed(),
         body,
     }
 }
 
-/// The outcome of the last event of a stream.
+/// Returns the outcome in the last event of a stream.
 fn last_outcome(body: &str) -> Option<Outcome> {
     let (_, rest) = body.rsplit_once("event: outcome\ndata: ")?;
     let json: serde_json::Value = serde_json::from_str(rest.lines().next()?).ok()?;
     Outcome::parse(json["outcome"].as_str()?)
 }
 
-fn code(body: &str) -> String {
+fn error_code(body: &str) -> String {
     let json: Option<serde_json::Value> = serde_json::from_str(body).ok();
     let code = json.as_ref().and_then(|j| j["error"]["code"].as_str());
     code.unwrap_or_default().to_owned()
 }
 
-/// The text of a stream's tokens.
+/// Returns the concatenated text of the tokens of a stream.
 fn streamed_text(body: &str) -> String {
     let lines = body.lines().filter_map(|line| line.strip_prefix("data: "));
     lines
@@ -229,7 +233,7 @@
         .collect()
 }
 
-/// Asks an address for JSON; `None` where none comes.
+/// Fetches JSON from an address; `None` if the request fails or the body does not parse.
 pub async fn get_json<T: DeserializeOwned>(
     client: &Client,
     addr: SocketAddr,
--- a/crates/lab/src/commands/claims.rs
+++ b/crates/lab/src/commands/claims.rs
@@ -1,5 +1,5 @@
-//! Compares ways to claim idempotency keys: each alone, gathered by each entry, gathered by one
-//! entry of the failure domain.
+//! Compares ways to claim idempotency keys: one write per claim, batches per entry, and batches by
+//! one claiming entry of the failure domain.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,23 +20,23 @@
 use super::finish;
 use crate::LabError;
 
-/// Entries of the failure domain.
+/// Number of entries in the failure domain.
 const ENTRIES: usize = 6;
 
-/// Rates of claims, a second.
-const RATES: [u32; 4] = [100, 300, 1000, 3000];
+/// Claims per second.
+const CLAIM_RATES: [u32; 4] = [100, 300, 1000, 3000];
 
-/// Time of one measurement.
-const SPAN: Duration = Duration::from_secs(3);
+/// Duration of one measurement.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(3);
 
-/// Writes a second the platform takes.
-const MAX_WRITES: u32 = 400;
+/// Writes per second that the platform accepts.
+const MAX_WRITES_PER_S: u32 = 400;
 
-/// Time the platform takes for a write.
+/// Delay of a write at the platform, in milliseconds.
 const WRITE_MS: u64 = 5;
 
-/// Time over which claims are gathered.
-const INTERVAL: Duration = Duration::from_millis(20);
+/// Interval over which claims are batched.
+const BATCH_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Serialize)]
 struct Row {
@@ -57,7 +57,7 @@
     let platform = Platform::start(layout.platform(), None, stop).await?;
     platform.table.faults.set(Faults {
         delay_ms: WRITE_MS,
-        max_writes_s: MAX_WRITES,
+        max_writes_s: MAX_WRITES_PER_S,
         ..Faults::default()
     });
     let kv = Kv::new(
@@ -65,27 +65,27 @@
         DialOptions::with_timeout(Duration::from_secs(2)),
     );
     let mut rows = Vec::new();
-    for rate in RATES {
+    for rate in CLAIM_RATES {
         for way in ["alone", "by entry", "by claimer"] {
             rows.push(measure(&platform, &kv, way, rate).await);
         }
     }
     match json {
-        true => println!("{}", serde_json::to_string(&rows).expect("plain data")),
+        true => println!("{}", serde_json::to_string(&rows).expect("rows serialize")),
         false => print(&rows),
     }
     Ok(())
 }
 
-/// Entries that claim in one of the ways.
-fn entries(kv: &Kv, way: &'static str) -> Vec<Claims> {
-    let batch = if way == "alone" { 1 } else { 100 };
+/// Starts entries that claim in the given way.
+fn start_entries(kv: &Kv, way: &'static str) -> Vec<Claims> {
+    let max_batch = if way == "alone" { 1 } else { 100 };
     let batching = Batching {
-        interval: INTERVAL,
-        max_batch: batch,
+        interval: BATCH_INTERVAL,
+        max_batch,
         retention: Duration::from_secs(3600),
     };
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+    let placeholder_addr = SocketAddr::from(([127, 0, 0, 1], 9));
     let first = Claims::start(kv.clone(), batching, || None, |_, _| async { Vec::new() });
     let mut all = vec![first.clone()];
     for _ in 1..ENTRIES {
@@ -94,61 +94,63 @@
             let claimer = claimer.clone();
             async move { claimer.write_batched(claims).await }
         };
-        let to = (way == "by claimer").then_some(nowhere);
+        let to = (way == "by claimer").then_some(placeholder_addr);
         all.push(Claims::start(kv.clone(), batching, move || to, forward));
     }
     all
 }
 
 async fn measure(platform: &Platform, kv: &Kv, way: &'static str, rate: u32) -> Row {
-    // A second of its own, so that one measurement's writes don't count against the next.
+    // The platform limits writes per second: the pause keeps the writes of one measurement from
+    // counting towards the limit of the next.
     tokio::time::sleep(Duration::from_millis(1100)).await;
-    let entries = entries(kv, way);
+    let entries = start_entries(kv, way);
     let writes_before = platform.table.store.counts().1;
     let refused = Arc::new(AtomicU32::new(0));
-    let n = rate * SPAN.as_secs() as u32;
-    let begun = Instant::now();
+    let n = rate * MEASUREMENT_TIME.as_secs() as u32;
+    let start = Instant::now();
     let mut tasks = Vec::new();
     for i in 0..n {
-        let at = begun + SPAN.mul_f64(f64::from(i) / f64::from(n));
+        let at = start + MEASUREMENT_TIME.mul_f64(f64::from(i) / f64::from(n));
         let claims = entries[i as usize % ENTRIES].clone();
         let refused = refused.clone();
         tasks.push(tokio::spawn(async move {
             tokio::time::sleep_until(at.into()).await;
-            let asked = Instant::now();
-            let record = record();
-            let written = claims
+            let claim_start = Instant::now();
+            let record = claim_record();
+            let outcome = claims
                 .claim(claim_key("lab", &record.request), &record)
                 .await;
-            if written != WriteOutcome::Applied {
+            if outcome != WriteOutcome::Applied {
                 refused.fetch_add(1, Ordering::Relaxed);
                 return None;
             }
-            Some(asked.elapsed())
+            Some(claim_start.elapsed())
         }));
     }
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     for task in tasks {
-        took.extend(task.await.ok().flatten());
+        latencies.extend(task.await.ok().flatten());
     }
-    took.sort_unstable();
-    let span = begun.elapsed().as_secs_f64();
-    let at = |q: f64| {
-        let i = (took.len().max(1) - 1) as f64 * q;
-        took.get(i as usize)
+    latencies.sort_unstable();
+    let elapsed_s = start.elapsed().as_secs_f64();
+    let quantile_ms = |q: f64| {
+        let i = (latencies.len().max(1) - 1) as f64 * q;
+        latencies
+            .get(i as usize)
             .map_or(f64::NAN, |d| d.as_secs_f64() * 1e3)
     };
     Row {
         way,
         claims_s: rate,
-        writes_s: (platform.table.store.counts().1 - writes_before) as f64 / span,
+        writes_s: (platform.table.store.counts().1 - writes_before) as f64 / elapsed_s,
         refused_percent: f64::from(refused.load(Ordering::Relaxed)) * 100.0 / f64::from(n),
-        p50_ms: at(0.5),
-        p99_ms: at(0.99),
+        p50_ms: quantile_ms(0.5),
+        p99_ms: quantile_ms(0.99),
     }
 }
 
-fn record() -> ClaimRecord {
+fn claim_record() -> ClaimRecord {
     ClaimRecord {
         request: new_request_id(),
         content: Digest::of(b"lab"),
--- a/crates/lab/src/commands/layout.rs
+++ b/crates/lab/src/commands/layout.rs
@@ -1,14 +1,14 @@
-//! Writes the settings of a deployment, and the list of its processes for a script to start.
+//! Writes the settings of a deployment, and the list of its processes that a script starts.
 
 use std::fmt::Write;
 use std::path::PathBuf;
 
 use pico_args::Arguments;
 
-use super::{deployment, finish};
+use super::{finish, layout_from_args};
 use crate::LabError;
 
-/// Settings of the demonstration that differ from the defaults.
+/// Settings in which the demonstration differs from the defaults.
 const ENTRY_LINES: [&str; 2] = ["stop_notice: 500ms", "drain_timeout: 10s"];
 const AGENT_LINES: [&str; 3] = [
     "stop_notice: 500ms",
@@ -18,8 +18,8 @@
 
 pub fn run(mut args: Arguments) -> Result<(), LabError> {
     let dir: PathBuf = args.value_from_str("--dir")?;
-    let copies: Option<String> = args.opt_value_from_str("--origin-copies")?;
-    let layout = deployment(&mut args)?;
+    let origin_copies: Option<String> = args.opt_value_from_str("--origin-copies")?;
+    let layout = layout_from_args(&mut args)?;
     finish(args)?;
     std::fs::create_dir_all(&dir)?;
     let mut processes = String::new();
@@ -33,7 +33,7 @@
         let _ = writeln!(processes, "entry {} {} {}", e.vm, e.domain, e.listen);
     }
     let mut agent_lines: Vec<String> = AGENT_LINES.map(str::to_owned).to_vec();
-    agent_lines.extend(copies.map(|c| format!("origin_copies: {c}")));
+    agent_lines.extend(origin_copies.map(|c| format!("origin_copies: {c}")));
     for u in layout.upstream_vms() {
         let mut lines = agent_lines.clone();
         if u.service {
--- a/crates/lab/src/commands/mod.rs
+++ b/crates/lab/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Tools, a file each.
+//! The tools of the bench, one per module.
 
 mod claims;
 mod control;
@@ -15,7 +15,7 @@
 
 use crate::LabError;
 
-/// Runs the tool that the arguments name.
+/// Runs the tool named by the arguments.
 pub fn run(mut args: Arguments) -> Result<(), LabError> {
     let name = args.subcommand()?;
     let runtime = tokio::runtime::Runtime::new()?;
@@ -38,8 +38,8 @@
     })
 }
 
-/// The deployment that `--net` and the numbers of VMs name.
-fn deployment(args: &mut Arguments) -> Result<Layout, LabError> {
+/// Reads the layout of a deployment from `--net` and the numbers of VMs and failure domains.
+fn layout_from_args(args: &mut Arguments) -> Result<Layout, LabError> {
     let net = args.value_from_str("--net")?;
     let entries = args.opt_value_from_str("--entries")?.unwrap_or(2);
     let engines = args.opt_value_from_str("--engines")?.unwrap_or(4);
@@ -50,6 +50,7 @@
     Ok(layout)
 }
 
+/// Rejects arguments that were not read.
 fn finish(args: Arguments) -> Result<(), LabError> {
     match args.finish().first() {
         None => Ok(()),
@@ -57,6 +58,7 @@
     }
 }
 
+/// Reads an optional duration.
 fn duration(
     args: &mut Arguments,
     name: &'static str,
--- a/crates/lab/src/commands/ready.rs
+++ b/crates/lab/src/commands/ready.rs
@@ -1,4 +1,5 @@
-//! Waits until a version is live on a number of replicas, and tells what the origin gave for it.
+//! Waits until a version is live on a number of replicas, and reports the time it took and the
+//! bytes sent by the origin.
 
 use std::time::{Duration, Instant};
 
@@ -11,17 +12,17 @@
 use serde::Serialize;
 use web::{Client, DialOptions};
 
-use super::{deployment, duration, finish};
+use super::{duration, finish, layout_from_args};
 use crate::LabError;
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Time between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two lines of progress.
-const SAY: Duration = Duration::from_millis(500);
+/// Time between two progress lines.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Serialize)]
-struct Ready {
+struct Report {
     replicas: usize,
     ready_s: f64,
     origin_bytes: u64,
@@ -31,68 +32,71 @@
     let json = args.contains("--json");
     let version: Digest = args.value_from_str("--version")?;
     let replicas: usize = args.value_from_str("--replicas")?;
-    let within = duration(&mut args, "--within")?.unwrap_or(Duration::from_secs(30));
-    let layout = deployment(&mut args)?;
+    let timeout = duration(&mut args, "--within")?.unwrap_or(Duration::from_secs(30));
+    let layout = layout_from_args(&mut args)?;
     finish(args)?;
-    let begun = Instant::now();
-    let mut said = Instant::now();
+    let start = Instant::now();
+    let mut last_progress = Instant::now();
     loop {
         let (live, permille) = progress(&layout, version).await;
         if live >= replicas {
-            return tell(&layout, live, begun.elapsed(), json).await;
+            return print_report(&layout, live, start.elapsed(), json).await;
         }
-        if begun.elapsed() > within {
+        if start.elapsed() > timeout {
             return Err(LabError::Failed(format!(
                 "only {live} of {replicas} replicas are ready"
             )));
         }
-        if said.elapsed() > SAY {
+        if last_progress.elapsed() > PROGRESS_INTERVAL {
             eprintln!(
                 "  {live} of {replicas} replicas ready, {}% of all chunks",
                 permille / 10
             );
-            said = Instant::now();
+            last_progress = Instant::now();
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn tell(
+async fn print_report(
     layout: &Layout,
     replicas: usize,
-    took: Duration,
+    elapsed: Duration,
     json: bool,
 ) -> Result<(), LabError> {
     let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let stats: Option<OriginStats> = get_json(&client, layout.platform().origin, "/stats").await;
-    let ready = Ready {
+    let report = Report {
         replicas,
-        ready_s: took.as_secs_f64(),
+        ready_s: elapsed.as_secs_f64(),
         origin_bytes: stats.map_or(0, |s| s.bytes),
     };
     match json {
-        true => println!("{}", serde_json::to_string(&ready).expect("plain data")),
-        false => println!("{replicas} replicas ready after {:.2} s", ready.ready_s),
+        true => println!(
+            "{}",
+            serde_json::to_string(&report).expect("a report serializes")
+        ),
+        false => println!("{replicas} replicas ready after {:.2} s", report.ready_s),
     }
     Ok(())
 }
 
-/// Replicas live, and the mean share of chunks verified.
+/// Returns the number of live replicas and the mean share of verified chunks, in permille.
 async fn progress(layout: &Layout, version: Digest) -> (usize, u64) {
     let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let version = version.to_string();
-    let mut seen: std::collections::BTreeMap<String, (bool, u16)> = Default::default();
+    let mut replicas: std::collections::BTreeMap<String, (bool, u16)> = Default::default();
     for e in layout.entry_vms() {
         let Some(status) = get_json::<Status>(&client, e.admin, "/status").await else {
             continue;
         };
         for u in &status.upstreams {
             for h in u.holdings.iter().filter(|h| h.version == version) {
-                seen.insert(u.vm.clone(), (h.live, h.permille));
+                replicas.insert(u.vm.clone(), (h.live, h.permille));
             }
         }
     }
-    let live = seen.values().filter(|(live, _)| *live).count();
-    let sum: u64 = seen.values().map(|(_, p)| u64::from(*p)).sum();
-    (live, sum / seen.len().max(1) as u64)
+    let live = replicas.values().filter(|(live, _)| *live).count();
+    let sum: u64 = replicas.values().map(|(_, p)| u64::from(*p)).sum();
+    (live, sum / replicas.len().max(1) as u64)
 }
--- a/crates/lab/src/commands/rollout.rs
+++ b/crates/lab/src/commands/rollout.rs
@@ -1,5 +1,5 @@
-//! Measures a rollout: real agents' code over links paced to the brief's proportions, with live
-//! requests on the same links, against the lower bound and the naive way.
+//! Measures a rollout with the real code of agents, on rate-limited links that also serve live
+//! requests, and compares it with the lower bound and with naive distribution.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -20,25 +20,26 @@
 use super::{duration, finish};
 use crate::LabError;
 
-/// Copies that the origin's link, and each VM's, carries in the span.
-const ORIGIN_COPIES: f64 = 4.0;
-const VM_COPIES: f64 = 2.0;
+/// Copies of the weights that the link of the origin, and that of each VM, can transmit in the
+/// time of `--span`.
+const ORIGIN_LINK_COPIES: f64 = 4.0;
+const VM_LINK_COPIES: f64 = 2.0;
 
-/// Requests a second at each entry.
-const LIVE_RATE: f64 = 25.0;
+/// Live requests per second at each entry.
+const LIVE_RATE_PER_S: f64 = 25.0;
 
-/// Time that live requests are measured without a rollout.
-const QUIET: Duration = Duration::from_secs(4);
+/// Time for which live requests are measured without a rollout.
+const BASELINE_TIME: Duration = Duration::from_secs(4);
 
-/// The naive way is run with this part of the weights, and its time multiplied: it is bound by the
-/// origin's link alone, so its time is in proportion.
-const NAIVE_PART: usize = 8;
+/// Naive distribution is measured with this fraction of the weights, and its time multiplied: only
+/// the link of the origin limits it, which makes its time proportional to the size.
+const NAIVE_FRACTION: usize = 8;
 
-/// Model that live requests call, and the one that is rolled out.
-const LIVE: &str = "live";
-const BIG: &str = "big";
+/// Model called by live requests, and the model that is rolled out.
+const LIVE_MODEL: &str = "live";
+const ROLLOUT_MODEL: &str = "big";
 
-/// What fails on the way.
+/// Fault injected during the rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
@@ -58,7 +59,7 @@
     chunk: u32,
     span: Duration,
     copies: String,
-    lines: Vec<String>,
+    agent_lines: Vec<String>,
     fault: Fault,
     seed: u64,
     net: u8,
@@ -86,7 +87,7 @@
     verified: bool,
 }
 
-/// A rollout on a deployment.
+/// A deployment on which a rollout is measured.
 struct Bench {
     deployment: Deployment,
     vm_rate: u64,
@@ -105,8 +106,8 @@
         copies: args
             .opt_value_from_str("--origin-copies")?
             .unwrap_or("fleet".into()),
-        lines: args.values_from_str("--set")?,
-        fault: fault(args.opt_value_from_str("--fault")?)?,
+        agent_lines: args.values_from_str("--set")?,
+        fault: parse_fault(args.opt_value_from_str("--fault")?)?,
         seed: args.opt_value_from_str("--seed")?.unwrap_or(1),
         net: args.opt_value_from_str("--net")?.unwrap_or(80),
     };
@@ -114,10 +115,13 @@
     let bench = Bench::start(&options).await?;
     let report = bench.measure(&options).await?;
     match options.json {
-        true => println!("{}", serde_json::to_string(&report).expect("plain data")),
+        true => println!(
+            "{}",
+            serde_json::to_string(&report).expect("a report serializes")
+        ),
         false => println!(
             "{}",
-            serde_json::to_string_pretty(&report).expect("plain data")
+            serde_json::to_string_pretty(&report).expect("a report serializes")
         ),
     }
     match report.verified {
@@ -126,7 +130,7 @@
     }
 }
 
-fn fault(name: Option<String>) -> Result<Fault, LabError> {
+fn parse_fault(name: Option<String>) -> Result<Fault, LabError> {
     match name.as_deref() {
         None | Some("none") => Ok(Fault::None),
         Some("kill") => Ok(Fault::Kill),
@@ -144,27 +148,27 @@
 }
 
 impl Bench {
-    async fn start(o: &Options) -> Result<Bench, LabError> {
-        let rate = |copies: f64| (o.size as f64 * copies / o.span.as_secs_f64()) as u64;
-        let (origin_rate, vm_rate) = (rate(ORIGIN_COPIES), rate(VM_COPIES));
+    async fn start(options: &Options) -> Result<Bench, LabError> {
+        let rate = |copies: f64| (options.size as f64 * copies / options.span.as_secs_f64()) as u64;
+        let (origin_rate, vm_rate) = (rate(ORIGIN_LINK_COPIES), rate(VM_LINK_COPIES));
         let entry_lines = [
             "table_poll: 100ms",
             "heartbeat: 250ms",
             "control_budget: 1GiB",
         ];
         let mut agent_lines = vec![
-            format!("chunk_memory: {}B", (o.size * 3).max(16 << 20)),
-            format!("origin_copies: {}", o.copies),
+            format!("chunk_memory: {}B", (options.size * 3).max(16 << 20)),
+            format!("origin_copies: {}", options.copies),
             "engine_poll: 100ms".to_owned(),
             "engine_slots: 4".to_owned(),
             format!("link_rate: {vm_rate}B"),
         ];
-        agent_lines.extend(o.lines.clone());
+        agent_lines.extend(options.agent_lines.clone());
         let plan = Plan {
-            net: o.net,
-            domains: o.domains,
+            net: options.net,
+            domains: options.domains,
             entries: 1,
-            vms: o.vms,
+            vms: options.vms,
             entry_lines: entry_lines.map(str::to_owned).to_vec(),
             agent_lines,
             behaviour: Behaviour::default(),
@@ -177,91 +181,102 @@
         })
     }
 
-    fn publish(&self, o: &Options, seed: u64, size: usize) -> Result<Digest, LabError> {
-        let seed = o.seed * 100 + seed;
-        self.deployment.publish(seed, size, o.chunk).map_err(failed)
+    fn publish(&self, options: &Options, seed: u64, size: usize) -> Result<Digest, LabError> {
+        let seed = options.seed * 100 + seed;
+        self.deployment
+            .publish(seed, size, options.chunk)
+            .map_err(failed)
     }
 
     async fn apply(&self, rows: &[(&str, Digest)]) -> Result<(), LabError> {
         self.deployment.apply(rows).await.map_err(failed)
     }
 
-    async fn loaded(&self, version: Digest, lost: &[IpAddr]) -> Result<Vec<Duration>, LabError> {
+    async fn wait_until_loaded(
+        &self,
+        version: Digest,
+        lost: &[IpAddr],
+    ) -> Result<Vec<Duration>, LabError> {
         self.deployment
             .wait_until_loaded(version, lost)
             .await
             .map_err(failed)
     }
 
-    async fn measure(&self, o: &Options) -> Result<Report, LabError> {
-        let small = self.publish(o, 0, 64 << 10)?;
-        self.apply(&[(LIVE, small)]).await?;
-        self.loaded(small, &[]).await?;
+    async fn measure(&self, options: &Options) -> Result<Report, LabError> {
+        let live_version = self.publish(options, 0, 64 << 10)?;
+        self.apply(&[(LIVE_MODEL, live_version)]).await?;
+        self.wait_until_loaded(live_version, &[]).await?;
         self.deployment
-            .wait_until_live(LIVE)
+            .wait_until_live(LIVE_MODEL)
             .await
             .map_err(failed)?;
-        let quiet = self.live_for(QUIET).await;
-        let mut version = self.publish(o, 1, o.size)?;
+        let baseline = self.measure_live_for(BASELINE_TIME).await;
+        let mut version = self.publish(options, 1, options.size)?;
         let before = self.deployment.platform.origin.weights.stats().bytes;
-        let rollout_over = Arc::new(AtomicBool::new(false));
-        let live = self.live_until(rollout_over.clone());
-        let begun = Instant::now();
-        self.apply(&[(LIVE, small), (BIG, version)]).await?;
+        let rollout_done = Arc::new(AtomicBool::new(false));
+        let live = self.send_live_until(rollout_done.clone());
+        let start = Instant::now();
+        self.apply(&[(LIVE_MODEL, live_version), (ROLLOUT_MODEL, version)])
+            .await?;
         let mut lost = Vec::new();
-        if o.fault != Fault::None {
-            self.half_way(o, version).await?;
-            lost = self.cause(o, small, &mut version).await?;
+        if options.fault != Fault::None {
+            self.wait_until_started(options, version).await?;
+            lost = self
+                .inject_fault(options, live_version, &mut version)
+                .await?;
         }
-        let times = self.loaded(version, &lost).await?;
-        let ready = begun.elapsed();
-        rollout_over.store(true, Ordering::Relaxed);
-        let during = live.await.map_err(failed)?;
-        let drawn = self.deployment.platform.origin.weights.stats().bytes - before;
-        let naive = match o.naive {
-            true => Some(self.naive(o).await?),
+        let times = self.wait_until_loaded(version, &lost).await?;
+        let ready = start.elapsed();
+        rollout_done.store(true, Ordering::Relaxed);
+        let rollout = live.await.map_err(failed)?;
+        let origin_bytes = self.deployment.platform.origin.weights.stats().bytes - before;
+        let naive = match options.naive {
+            true => Some(self.measure_naive(options).await?),
             false => None,
         };
-        let kept = self
+        let remaining = self
             .deployment
             .engines
             .iter()
             .filter(|e| !lost.contains(&e.ip()));
-        let verified = kept.clone().all(|e| e.engine.has_loaded(&version));
+        let verified = remaining.clone().all(|e| e.engine.has_loaded(&version));
         let offset = ready.saturating_sub(times.last().copied().unwrap_or_default());
         let p50 = times.get(times.len() / 2).copied().unwrap_or_default() + offset;
-        let bound = self.bound(o);
+        let bound = self.lower_bound_s(options);
         Ok(Report {
-            vms: o.vms,
-            domains: o.domains,
-            size: o.size,
-            fault: format!("{:?}", o.fault).to_lowercase(),
-            copies: o.copies.clone(),
+            vms: options.vms,
+            domains: options.domains,
+            size: options.size,
+            fault: format!("{:?}", options.fault).to_lowercase(),
+            copies: options.copies.clone(),
             ready_s: ready.as_secs_f64(),
             ready_p50_s: p50.as_secs_f64(),
             bound_s: bound,
             ratio: ready.as_secs_f64() / bound,
-            origin_copies: drawn as f64 / o.size as f64,
+            origin_copies: origin_bytes as f64 / options.size as f64,
             naive_ready_s: naive.map(|(s, _)| s),
             naive_origin_copies: naive.map(|(_, copies)| copies),
-            live_p99_ms_quiet: p99(&quiet.took),
-            live_p99_ms_rollout: p99(&during.took),
-            live_not_done: quiet.not_done + during.not_done,
+            live_p99_ms_quiet: p99_ms(&baseline.latencies),
+            live_p99_ms_rollout: p99_ms(&rollout.latencies),
+            live_not_done: baseline.not_done + rollout.not_done,
             verified,
         })
     }
 
-    /// `max(S/u_origin, S/d_vm, N*S/(u_origin + sum u_vm))`, in seconds.
-    fn bound(&self, o: &Options) -> f64 {
-        let (s, n) = (o.size as f64, o.vms as f64);
+    /// Returns the lower bound of a rollout, in seconds:
+    /// `max(S/u_origin, S/d_vm, N*S/(u_origin + sum u_vm))`.
+    fn lower_bound_s(&self, options: &Options) -> f64 {
+        let (s, n) = (options.size as f64, options.vms as f64);
         let (origin, vm) = (self.origin_rate as f64, self.vm_rate as f64);
         (s / origin).max(s / vm).max(n * s / (origin + n * vm))
     }
 
-    async fn half_way(&self, o: &Options, version: Digest) -> Result<(), LabError> {
-        let begun = Instant::now();
-        let chunks = o.size.div_ceil(o.chunk as usize);
-        let mean = || {
+    /// Waits until a third of all chunks is staged on average.
+    async fn wait_until_started(&self, options: &Options, version: Digest) -> Result<(), LabError> {
+        let start = Instant::now();
+        let chunks = options.size.div_ceil(options.chunk as usize);
+        let mean_staged = || {
             let staged = self
                 .deployment
                 .engines
@@ -269,24 +284,24 @@
                 .map(|e| e.engine.staged_chunks(&version));
             staged.sum::<usize>() / self.deployment.engines.len()
         };
-        while mean() < chunks / 3 {
-            if begun.elapsed() > WAIT_TIMEOUT {
-                return Err(failed("the rollout doesn't begin"));
+        while mean_staged() < chunks / 3 {
+            if start.elapsed() > WAIT_TIMEOUT {
+                return Err(failed("the rollout does not start"));
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         Ok(())
     }
 
-    /// Causes the fault; returns VMs that are lost by it.
-    async fn cause(
+    /// Injects the fault; returns the VMs lost to it.
+    async fn inject_fault(
         &self,
-        o: &Options,
-        small: Digest,
+        options: &Options,
+        live_version: Digest,
         version: &mut Digest,
     ) -> Result<Vec<IpAddr>, LabError> {
         let victim = self.deployment.layout.upstream_vms().remove(0);
-        match o.fault {
+        match options.fault {
             Fault::None => {}
             Fault::Kill => {
                 self.deployment
@@ -307,9 +322,9 @@
                     ..Faults::default()
                 });
             }
-            Fault::Cut => self.cut_for(o.span / 8),
+            Fault::Cut => self.cut_first_domain_for(options.span / 8),
             Fault::OriginDown => {
-                while self.deployment.platform.origin.weights.stats().bytes < o.size as u64 {
+                while self.deployment.platform.origin.weights.stats().bytes < options.size as u64 {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 self.deployment.platform.origin.faults.set(Faults {
@@ -318,15 +333,16 @@
                 });
             }
             Fault::Newer => {
-                *version = self.publish(o, 2, o.size)?;
-                self.apply(&[(LIVE, small), (BIG, *version)]).await?;
+                *version = self.publish(options, 2, options.size)?;
+                self.apply(&[(LIVE_MODEL, live_version), (ROLLOUT_MODEL, *version)])
+                    .await?;
             }
         }
         Ok(Vec::new())
     }
 
-    /// Cuts the first failure domain off from the others for a while.
-    fn cut_for(&self, span: Duration) {
+    /// Cuts the links between the first failure domain and the others for `span`.
+    fn cut_first_domain_for(&self, span: Duration) {
         let side = |d: usize| self.deployment.layout.base + d as u8;
         for other in 1..self.deployment.layout.domains.len() {
             self.deployment
@@ -340,26 +356,27 @@
         });
     }
 
-    /// The naive way: every VM draws all of the weights from the origin.
-    async fn naive(&self, o: &Options) -> Result<(f64, f64), LabError> {
-        let size = (o.size / NAIVE_PART).max(o.chunk as usize);
+    /// Measures naive distribution, in which every VM fetches all weights from the origin; returns its
+    /// time in seconds, scaled to the full size, and the copies sent by the origin.
+    async fn measure_naive(&self, options: &Options) -> Result<(f64, f64), LabError> {
+        let size = (options.size / NAIVE_FRACTION).max(options.chunk as usize);
         self.deployment
             .platform
             .origin
             .faults
             .set(Faults::default());
-        let version = self.publish(o, 3, size)?;
+        let version = self.publish(options, 3, size)?;
         let before = self.deployment.platform.origin.weights.stats().bytes;
-        let begun = Instant::now();
+        let start = Instant::now();
         let mut pulls = JoinSet::new();
         for e in &self.deployment.engines {
-            let dial = DialOptions {
+            let dial_options = DialOptions {
                 timeout: WAIT_TIMEOUT,
                 keep_alive: true,
                 source: Some(e.ip()),
             };
-            let origin = store::Origin::new(self.deployment.layout.platform().origin, dial);
-            let chunk = o.chunk as usize;
+            let origin = store::Origin::new(self.deployment.layout.platform().origin, dial_options);
+            let chunk = options.chunk as usize;
             pulls.spawn(async move {
                 for first in (0..size).step_by(chunk) {
                     let end = (first + chunk).min(size);
@@ -368,24 +385,24 @@
                 Ok::<_, store::PlatformError>(())
             });
         }
-        while let Some(pulled) = pulls.join_next().await {
-            pulled.map_err(failed)?.map_err(failed)?;
+        while let Some(result) = pulls.join_next().await {
+            result.map_err(failed)?.map_err(failed)?;
         }
-        let drawn = self.deployment.platform.origin.weights.stats().bytes - before;
-        let took = begun.elapsed().as_secs_f64() * o.size as f64 / size as f64;
-        Ok((took, drawn as f64 / size as f64))
+        let origin_bytes = self.deployment.platform.origin.weights.stats().bytes - before;
+        let elapsed_s = start.elapsed().as_secs_f64() * options.size as f64 / size as f64;
+        Ok((elapsed_s, origin_bytes as f64 / size as f64))
     }
 
-    async fn live_for(&self, span: Duration) -> Live {
-        let over = Arc::new(AtomicBool::new(false));
-        let live = self.live_until(over.clone());
+    async fn measure_live_for(&self, span: Duration) -> Live {
+        let stop = Arc::new(AtomicBool::new(false));
+        let live = self.send_live_until(stop.clone());
         tokio::time::sleep(span).await;
-        over.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
         live.await.unwrap_or_default()
     }
 
-    /// Live requests at all entries, at a steady rate, until told that it is over.
-    fn live_until(&self, over: Arc<AtomicBool>) -> tokio::task::JoinHandle<Live> {
+    /// Sends live requests to all entries at a steady rate until `stop` is set.
+    fn send_live_until(&self, stop: Arc<AtomicBool>) -> tokio::task::JoinHandle<Live> {
         let entries: Vec<SocketAddr> = self
             .deployment
             .layout
@@ -396,40 +413,41 @@
         tokio::spawn(async move {
             let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
             let mut sent = JoinSet::new();
-            let mut tick = tokio::time::interval(Duration::from_secs_f64(1.0 / LIVE_RATE));
+            let mut tick = tokio::time::interval(Duration::from_secs_f64(1.0 / LIVE_RATE_PER_S));
             let mut n = 0;
-            while !over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 tick.tick().await;
                 for entry in entries.clone() {
                     let client = client.clone();
-                    let ask = RequestSpec::completion(LIVE, &format!("live{n}"));
+                    let spec = RequestSpec::completion(LIVE_MODEL, &format!("live{n}"));
                     n += 1;
-                    sent.spawn(async move { (send(&client, entry, &ask).await, ask) });
+                    sent.spawn(async move { (send(&client, entry, &spec).await, spec) });
                 }
             }
             let mut live = Live::default();
-            while let Some(Ok((reply, ask))) = sent.join_next().await {
-                let whole =
-                    reply.outcome == Some(base::Outcome::Done) && reply.mismatch(&ask).is_none();
-                match whole {
-                    true => live.took.push(reply.elapsed),
+            while let Some(Ok((reply, spec))) = sent.join_next().await {
+                let is_correct =
+                    reply.outcome == Some(base::Outcome::Done) && reply.mismatch(&spec).is_none();
+                match is_correct {
+                    true => live.latencies.push(reply.elapsed),
                     false => live.not_done += 1,
                 }
             }
-            live.took.sort_unstable();
+            live.latencies.sort_unstable();
             live
         })
     }
 }
 
-/// What became of live requests.
+/// Latencies of the live requests that were done correctly, and the number of the others.
 #[derive(Debug, Default)]
 struct Live {
-    took: Vec<Duration>,
+    latencies: Vec<Duration>,
     not_done: usize,
 }
 
-fn p99(sorted: &[Duration]) -> f64 {
+/// Returns the 99th percentile in milliseconds.
+fn p99_ms(sorted: &[Duration]) -> f64 {
     let i = (sorted.len().max(1) - 1) * 99 / 100;
     sorted.get(i).map_or(f64::NAN, |d| d.as_secs_f64() * 1e3)
 }
--- a/crates/lab/src/commands/route.rs
+++ b/crates/lab/src/commands/route.rs
@@ -1,4 +1,4 @@
-//! Compares policies of choosing an upstream, under load and faults, on real entries and agents.
+//! Compares load-balancing policies under load and faults, with the real code of entries and agents.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,30 +19,30 @@
 use super::{duration, finish};
 use crate::LabError;
 
-/// Policies, the shipped one first.
+/// Load-balancing policies, the default one first.
 const POLICIES: [&str; 5] = ["prefix", "two", "random", "round-robin", "least-reported"];
 
 const MODEL: &str = "changelog";
 
-/// Upstreams and entries of the one failure domain.
+/// Number of upstreams and of entries in the only failure domain.
 const VMS: usize = 6;
 const ENTRIES: u8 = 2;
 
-/// Requests an engine runs at once, and time of its tokens.
+/// Maximum number of concurrent requests of an engine, and its time per token.
 const SLOTS: u32 = 8;
-const TOKEN: Duration = Duration::from_millis(5);
+const TOKEN_TIME: Duration = Duration::from_millis(5);
 
-/// Tokens of an answer.
+/// Number of tokens of a response.
 const TOKENS: u32 = 16;
 
-/// Different prompt prefixes; more than one engine caches.
+/// Number of distinct prompt prefixes, more than fit into the cache of one engine.
 const PREFIXES: usize = 96;
 
-/// Time before requests are counted.
-const WARM_UP: Duration = Duration::from_secs(2);
+/// Warm-up time, in which requests are not counted.
+const WARM_UP_TIME: Duration = Duration::from_secs(2);
 
-/// How much slower the slow upstream is.
-const SLOW: f64 = 5.0;
+/// Factor by which the slow upstream is slower.
+const SLOWDOWN: f64 = 5.0;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
@@ -74,7 +74,7 @@
     let json = args.contains("--json");
     let policy: String = args.opt_value_from_str("--policy")?.unwrap_or("all".into());
     let load: f64 = args.opt_value_from_str("--load")?.unwrap_or(0.8);
-    let fault = fault(args.opt_value_from_str("--fault")?)?;
+    let fault = parse_fault(args.opt_value_from_str("--fault")?)?;
     let seed: u64 = args.opt_value_from_str("--seed")?.unwrap_or(1);
     let span = duration(&mut args, "--span")?.unwrap_or(Duration::from_secs(8));
     let net: u8 = args.opt_value_from_str("--net")?.unwrap_or(82);
@@ -94,13 +94,13 @@
         rows.push(measure(policy, fault, load, seed, span, net + i as u8).await?);
     }
     match json {
-        true => println!("{}", serde_json::to_string(&rows).expect("plain data")),
+        true => println!("{}", serde_json::to_string(&rows).expect("rows serialize")),
         false => print(&rows),
     }
     Ok(())
 }
 
-fn fault(name: Option<String>) -> Result<Fault, LabError> {
+fn parse_fault(name: Option<String>) -> Result<Fault, LabError> {
     match name.as_deref() {
         None | Some("none") => Ok(Fault::None),
         Some("slow") => Ok(Fault::Slow),
@@ -112,11 +112,12 @@
     }
 }
 
-/// Requests a second that all engines together can carry, with half of the prefixes cached.
-fn capacity() -> f64 {
-    let batch = 1.0 + f64::from(SLOTS - 1) * 0.05;
-    let one = TOKEN.as_secs_f64() * (5.5 + f64::from(TOKENS - 1) * batch);
-    f64::from(SLOTS) / one * VMS as f64
+/// Returns the requests per second that all engines can serve together if half of the prompts have
+/// a cached prefix.
+fn capacity_rps() -> f64 {
+    let batch_factor = 1.0 + f64::from(SLOTS - 1) * 0.05;
+    let request_s = TOKEN_TIME.as_secs_f64() * (5.5 + f64::from(TOKENS - 1) * batch_factor);
+    f64::from(SLOTS) / request_s * VMS as f64
 }
 
 async fn measure(
@@ -146,7 +147,7 @@
         entry_lines: entry_lines.to_vec(),
         agent_lines: vec!["engine_poll: 100ms".into(), format!("max_running: {SLOTS}")],
         behaviour: Behaviour {
-            token: TOKEN,
+            token: TOKEN_TIME,
             slots: SLOTS,
             ..Behaviour::default()
         },
@@ -165,25 +166,25 @@
         .await
         .map_err(failed)?;
     deployment.wait_until_live(MODEL).await.map_err(failed)?;
-    let over = Arc::new(AtomicBool::new(false));
-    cause(&deployment, fault, over.clone());
-    let rate = capacity() * load;
+    let done = Arc::new(AtomicBool::new(false));
+    inject_fault(&deployment, fault, done.clone());
+    let rate = capacity_rps() * load;
     let hits = |d: &Deployment| d.engines.iter().map(|e| e.engine.cache_hits()).sum::<u64>();
-    call_for(&deployment, rate, WARM_UP, seed, "warm").await;
-    let (hits_before, begun) = (hits(&deployment), Instant::now());
-    let replies = call_for(&deployment, rate, span, seed + 1, "real").await;
-    let took = begun.elapsed().as_secs_f64();
-    over.store(true, Ordering::Relaxed);
+    send_streams(&deployment, rate, WARM_UP_TIME, seed, "warm").await;
+    let (hits_before, start) = (hits(&deployment), Instant::now());
+    let replies = send_streams(&deployment, rate, span, seed + 1, "real").await;
+    let elapsed_s = start.elapsed().as_secs_f64();
+    done.store(true, Ordering::Relaxed);
     let hits = hits(&deployment) - hits_before;
-    Ok(row(policy, fault, load, &replies, took, hits))
+    Ok(to_row(policy, fault, load, &replies, elapsed_s, hits))
 }
 
-/// Causes the fault for as long as the measurement runs.
-fn cause(deployment: &Deployment, fault: Fault, over: Arc<AtomicBool>) {
+/// Injects the fault for the rest of the measurement; a flapping upstream flaps until `done` is set.
+fn inject_fault(deployment: &Deployment, fault: Fault, done: Arc<AtomicBool>) {
     let victim = deployment.engines[0].clone();
     match fault {
         Fault::None | Fault::Lag => {}
-        Fault::Slow => victim.engine.slow_down(SLOW),
+        Fault::Slow => victim.engine.slow_down(SLOWDOWN),
         Fault::Dead => deployment.switchboard.disconnect_vm(victim.ip()),
         Fault::Cut => deployment.platform.table.faults.set(Faults {
             down: true,
@@ -191,7 +192,7 @@
         }),
         Fault::Flap => drop(tokio::spawn(async move {
             let mut down = false;
-            while !over.load(Ordering::Relaxed) {
+            while !done.load(Ordering::Relaxed) {
                 down = !down;
                 victim.engine.faults.set(Faults {
                     down,
@@ -203,8 +204,9 @@
     }
 }
 
-/// Streams at a steady rate over all entries, with prompts of few prefixes.
-async fn call_for(
+/// Sends streamed requests at a steady rate, spread over all entries, with prompts that share
+/// prefixes.
+async fn send_streams(
     deployment: &Deployment,
     rate: f64,
     span: Duration,
@@ -219,20 +221,20 @@
         .map(|e| e.listen)
         .collect();
     let mut rng = StdRng::seed_from_u64(seed);
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut calls = JoinSet::new();
     for i in 0..(rate * span.as_secs_f64()) as usize {
-        tokio::time::sleep_until((begun + Duration::from_secs_f64(i as f64 / rate)).into()).await;
-        // Prefixes are asked for unevenly: the low numbers more often.
+        tokio::time::sleep_until((start + Duration::from_secs_f64(i as f64 / rate)).into()).await;
+        // The distribution of prefixes is skewed: low numbers are more frequent.
         let prefix = (PREFIXES as f64 * rng.random::<f64>().powi(2)) as usize;
-        let ask = RequestSpec {
+        let spec = RequestSpec {
             stream: true,
             tokens: TOKENS,
             deadline: Duration::from_secs(5),
             ..RequestSpec::completion(MODEL, &format!("{name}-prefix-{prefix:04}"))
         };
         let (client, entry) = (client.clone(), entries[i % entries.len()]);
-        calls.spawn(async move { (ask.clone(), send(&client, entry, &ask).await) });
+        calls.spawn(async move { (spec.clone(), send(&client, entry, &spec).await) });
     }
     let mut replies = Vec::new();
     while let Some(Ok(reply)) = calls.join_next().await {
@@ -241,41 +243,41 @@
     replies
 }
 
-fn row(
+fn to_row(
     policy: &'static str,
     fault: Fault,
     load: f64,
     replies: &[(RequestSpec, Reply)],
-    took: f64,
+    elapsed_s: f64,
     hits: u64,
 ) -> Row {
-    let with = |o: Outcome| replies.iter().filter(|(_, r)| r.outcome == Some(o)).count();
+    let count = |o: Outcome| replies.iter().filter(|(_, r)| r.outcome == Some(o)).count();
     let wrong = replies
         .iter()
-        .filter(|(ask, r)| r.mismatch(ask).is_some())
+        .filter(|(spec, r)| r.mismatch(spec).is_some())
         .count();
-    let done = with(Outcome::Done) - wrong;
-    let mut first: Vec<f64> = replies
+    let done = count(Outcome::Done) - wrong;
+    let mut first_ms: Vec<f64> = replies
         .iter()
         .filter(|(_, r)| r.outcome == Some(Outcome::Done))
         .map(|(_, r)| r.first_byte.as_secs_f64() * 1e3)
         .collect();
-    first.sort_by(f64::total_cmp);
-    let at = |q: f64| {
-        let i = (first.len().max(1) - 1) as f64 * q;
-        first.get(i as usize).copied().unwrap_or(f64::NAN)
+    first_ms.sort_by(f64::total_cmp);
+    let quantile_ms = |q: f64| {
+        let i = (first_ms.len().max(1) - 1) as f64 * q;
+        first_ms.get(i as usize).copied().unwrap_or(f64::NAN)
     };
     Row {
         policy,
         fault: format!("{fault:?}").to_lowercase(),
         load,
         sent: replies.len(),
-        goodput_s: done as f64 / took,
-        first_p50_ms: at(0.5),
-        first_p95_ms: at(0.95),
-        first_p99_ms: at(0.99),
-        refused: with(Outcome::NotRun),
-        unknown: replies.len() - with(Outcome::Done) - with(Outcome::NotRun),
+        goodput_s: done as f64 / elapsed_s,
+        first_p50_ms: quantile_ms(0.5),
+        first_p95_ms: quantile_ms(0.95),
+        first_p99_ms: quantile_ms(0.99),
+        refused: count(Outcome::NotRun),
+        unknown: replies.len() - count(Outcome::Done) - count(Outcome::NotRun),
         wrong,
         prefix_hits: hits as f64 / replies.len().max(1) as f64,
     }
--- a/crates/lab/src/commands/send.rs
+++ b/crates/lab/src/commands/send.rs
@@ -1,5 +1,5 @@
-//! Sends safe, unsafe and streamed requests in each failure domain and holds the answers, and
-//! what they say of themselves, against the ledgers of the engines and services.
+//! Sends safe, unsafe and streamed requests in each failure domain, and checks the responses and
+//! their reported outcomes against the ledgers of the engines and services.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,10 +14,10 @@
 use serde::Serialize;
 use web::{Client, DialOptions};
 
-use super::{deployment, finish};
+use super::{finish, layout_from_args};
 use crate::LabError;
 
-/// Kinds of requests, in the order they are sent.
+/// Kinds of requests, in the order in which they are sent.
 const KINDS: [&str; 5] = [
     "completion",
     "stream",
@@ -27,7 +27,7 @@
 ];
 
 #[derive(Default, Serialize)]
-struct Tally {
+struct OutcomeCounts {
     sent: u32,
     done: u32,
     not_run: u32,
@@ -35,20 +35,20 @@
     p50_ms: f64,
     p99_ms: f64,
     #[serde(skip)]
-    took: Vec<Duration>,
+    latencies: Vec<Duration>,
 }
 
 #[derive(Serialize)]
 struct Report {
-    tallies: BTreeMap<String, Tally>,
+    tallies: BTreeMap<String, OutcomeCounts>,
     faults: Vec<String>,
 }
 
-/// A request with what came back.
+/// A request with its response.
 struct Sent {
     kind: &'static str,
     domain: String,
-    ask: RequestSpec,
+    spec: RequestSpec,
     reply: Reply,
 }
 
@@ -58,26 +58,29 @@
     let model: String = args
         .opt_value_from_str("--model")?
         .unwrap_or("changelog".into());
-    let layout = deployment(&mut args)?;
+    let layout = layout_from_args(&mut args)?;
     finish(args)?;
     let until = Instant::now() + Duration::from_secs_f64(seconds);
     let with_service = layout.services > 0;
     let callers: Vec<_> = layout
         .entry_vms()
         .into_iter()
-        .map(|e| tokio::spawn(caller(e, model.clone(), until, with_service)))
+        .map(|e| tokio::spawn(run_caller(e, model.clone(), until, with_service)))
         .collect();
     let mut sent = Vec::new();
     for caller in callers {
         sent.extend(caller.await.map_err(|e| LabError::Failed(e.to_string()))?);
     }
-    let faults = faults(&layout, &sent).await;
+    let faults = find_faults(&layout, &sent).await;
     let report = Report {
-        tallies: tallies(sent),
+        tallies: count_outcomes(sent),
         faults,
     };
     match json {
-        true => println!("{}", serde_json::to_string(&report).expect("plain data")),
+        true => println!(
+            "{}",
+            serde_json::to_string(&report).expect("a report serializes")
+        ),
         false => print(&report),
     }
     match report.faults.is_empty() {
@@ -86,8 +89,8 @@
     }
 }
 
-/// One caller at one entry: a round of every kind, again until the time is up.
-async fn caller(e: EntryVm, model: String, until: Instant, with_service: bool) -> Vec<Sent> {
+/// Sends rounds of requests of every kind to one entry until the time is up.
+async fn run_caller(e: EntryVm, model: String, until: Instant, with_service: bool) -> Vec<Sent> {
     let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let mut sent = Vec::new();
     let mut round = 0;
@@ -97,15 +100,15 @@
                 continue;
             }
             let marker = format!("m{:016x}", rand::random::<u64>());
-            let ask = ask(kind, &model, &marker);
+            let spec = request_spec(kind, &model, &marker);
             let times = if kind == "keyed twice" { 2 } else { 1 };
             for _ in 0..times {
-                let reply = send(&client, e.listen, &ask).await;
-                let (domain, ask) = (e.domain.clone(), ask.clone());
+                let reply = send(&client, e.listen, &spec).await;
+                let (domain, spec) = (e.domain.clone(), spec.clone());
                 sent.push(Sent {
                     kind,
                     domain,
-                    ask,
+                    spec,
                     reply,
                 });
             }
@@ -117,7 +120,7 @@
     }
 }
 
-fn ask(kind: &str, model: &str, marker: &str) -> RequestSpec {
+fn request_spec(kind: &str, model: &str, marker: &str) -> RequestSpec {
     let plain = RequestSpec::completion(model, marker);
     match kind {
         "stream" => RequestSpec {
@@ -139,38 +142,37 @@
     }
 }
 
-/// What is wrong with the answers, by themselves and against the ledgers.
-async fn faults(layout: &Layout, sent: &[Sent]) -> Vec<String> {
+/// Returns what is wrong with the responses, on their own and compared with the ledgers.
+async fn find_faults(layout: &Layout, sent: &[Sent]) -> Vec<String> {
     let mut faults: Vec<String> = sent
         .iter()
-        .filter_map(|s| s.reply.mismatch(&s.ask))
+        .filter_map(|s| s.reply.mismatch(&s.spec))
         .collect();
-    let runs = runs(layout).await;
+    let runs = count_runs(layout).await;
     for s in sent {
-        let n = runs.get(&s.ask.marker).copied().unwrap_or(0);
+        let n = runs.get(&s.spec.marker).copied().unwrap_or(0);
         let outcome = s.reply.outcome;
-        let once = s.ask.mark_unsafe || s.ask.service.is_some();
-        let (kind, marker) = (s.kind, &s.ask.marker);
+        let runs_at_most_once = s.spec.mark_unsafe || s.spec.service.is_some();
+        let (kind, marker) = (s.kind, &s.spec.marker);
         match outcome {
-            None => faults.push(format!(
-                "{kind} {marker} was told no outcome: {}",
-                s.reply.code
-            )),
+            None => faults.push(format!("{kind} {marker} has no outcome: {}", s.reply.code)),
             Some(Outcome::Done) if n == 0 => {
-                faults.push(format!("{kind} {marker} is done yet never ran"))
+                faults.push(format!("{kind} {marker} has outcome done but never ran"))
             }
             Some(Outcome::NotRun) if n > 0 && s.kind != "keyed twice" => {
-                faults.push(format!("{kind} {marker} is not-run yet ran"));
+                faults.push(format!("{kind} {marker} has outcome not-run but ran"));
+            }
+            _ if runs_at_most_once && n > 1 => {
+                faults.push(format!("{kind} {marker} ran {n} times"))
             }
-            _ if once && n > 1 => faults.push(format!("{kind} {marker} ran {n} times")),
             _ => {}
         }
     }
     faults
 }
 
-/// How often each marker ran, by the ledgers of all upstreams.
-async fn runs(layout: &Layout) -> BTreeMap<String, u32> {
+/// Returns how many times each marker ran according to the ledgers of all upstreams.
+async fn count_runs(layout: &Layout) -> BTreeMap<String, u32> {
     let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
     let mut runs = BTreeMap::new();
     for u in layout.upstream_vms() {
@@ -195,27 +197,28 @@
     runs
 }
 
-fn tallies(sent: Vec<Sent>) -> BTreeMap<String, Tally> {
-    let mut tallies: BTreeMap<String, Tally> = BTreeMap::new();
+fn count_outcomes(sent: Vec<Sent>) -> BTreeMap<String, OutcomeCounts> {
+    let mut all_counts: BTreeMap<String, OutcomeCounts> = BTreeMap::new();
     for s in sent {
-        let tally = tallies
+        let counts = all_counts
             .entry(format!("{} {}", s.domain, s.kind))
             .or_default();
-        tally.sent += 1;
-        tally.took.push(s.reply.elapsed);
+        counts.sent += 1;
+        counts.latencies.push(s.reply.elapsed);
         match s.reply.outcome {
-            Some(Outcome::Done) => tally.done += 1,
-            Some(Outcome::NotRun) => tally.not_run += 1,
-            Some(Outcome::Unknown) | None => tally.unknown += 1,
+            Some(Outcome::Done) => counts.done += 1,
+            Some(Outcome::NotRun) => counts.not_run += 1,
+            Some(Outcome::Unknown) | None => counts.unknown += 1,
         }
     }
-    for tally in tallies.values_mut() {
-        tally.took.sort();
-        let at =
-            |q: f64| tally.took[((tally.took.len() - 1) as f64 * q) as usize].as_secs_f64() * 1e3;
-        (tally.p50_ms, tally.p99_ms) = (at(0.5), at(0.99));
+    for counts in all_counts.values_mut() {
+        counts.latencies.sort();
+        let quantile_ms = |q: f64| {
+            counts.latencies[((counts.latencies.len() - 1) as f64 * q) as usize].as_secs_f64() * 1e3
+        };
+        (counts.p50_ms, counts.p99_ms) = (quantile_ms(0.5), quantile_ms(0.99));
     }
-    tallies
+    all_counts
 }
 
 fn print(report: &Report) {
--- a/crates/lab/src/commands/standins.rs
+++ b/crates/lab/src/commands/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes of their own; they end on SIGTERM.
+//! Runs stand-ins as separate processes, which exit on SIGTERM.
 
 use std::net::SocketAddr;
 
@@ -9,17 +9,17 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-use super::{deployment, duration, finish};
+use super::{duration, finish, layout_from_args};
 use crate::LabError;
 
 pub async fn platform(mut args: Arguments) -> Result<(), LabError> {
-    let layout = deployment(&mut args)?;
+    let layout = layout_from_args(&mut args)?;
     let rate = args.opt_value_from_str("--origin-rate")?;
     finish(args)?;
     let (_tx, stop) = watch::channel(false);
     let platform = Platform::start(layout.platform_listen_addrs(), rate, stop).await?;
     platform.set_members(&layout.members());
-    until_term().await
+    wait_for_sigterm().await
 }
 
 pub async fn engine(mut args: Arguments) -> Result<(), LabError> {
@@ -34,7 +34,7 @@
     finish(args)?;
     let (_tx, stop) = watch::channel(false);
     Engine::start(listen, behaviour, stop).await?;
-    until_term().await
+    wait_for_sigterm().await
 }
 
 pub async fn service(mut args: Arguments) -> Result<(), LabError> {
@@ -42,10 +42,10 @@
     finish(args)?;
     let (_tx, stop) = watch::channel(false);
     PlainService::start(listen, stop).await?;
-    until_term().await
+    wait_for_sigterm().await
 }
 
-async fn until_term() -> Result<(), LabError> {
+async fn wait_for_sigterm() -> Result<(), LabError> {
     signal(SignalKind::terminate())?.recv().await;
     Ok(())
 }
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -1,5 +1,5 @@
-//! A deployment in this process: real entries' and agents' code, stand-ins, and relays on all
-//! links.
+//! A deployment in the current process: the real code of entries and agents, stand-ins for the
+//! systems around them, and relays on all links.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -22,10 +22,10 @@
 use crate::standin::platform::Platform;
 use crate::standin::relay::Switchboard;
 
-/// Longest wait for anything.
+/// Maximum wait for a deployment to reach a state.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Why a deployment failed.
+/// Error of a deployment.
 #[derive(Debug, Display)]
 pub enum DeployError {
     /// {0}
@@ -46,24 +46,24 @@
     DeployError::Failed(e.to_string())
 }
 
-/// What a deployment looks like.
+/// Size and settings of a deployment.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Second number of its addresses.
+    /// Second octet of its addresses.
     pub net: u8,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Entries in each.
+    /// Number of entries in each failure domain.
     pub entries: u8,
-    /// Upstream VMs in all.
+    /// Total number of upstream VMs.
     pub vms: usize,
-    /// Lines of the entries' settings.
+    /// Additional lines of the settings of entries.
     pub entry_lines: Vec<String>,
-    /// Lines of the agents' settings.
+    /// Additional lines of the settings of agents.
     pub agent_lines: Vec<String>,
-    /// Behaviour of engines.
+    /// Behaviour of all engines.
     pub behaviour: Behaviour,
-    /// Rates of the VMs' links and of the origin's, in bytes a second.
+    /// Rates of the links of each VM and of the origin, in bytes per second; `None` is unlimited.
     pub rates: Option<(u64, u64)>,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl EngineVm {
-    /// Its address.
+    /// Returns the address of the VM.
     pub fn ip(&self) -> IpAddr {
         self.vm.listen.ip()
     }
@@ -86,19 +86,19 @@
 /// A running deployment.
 #[derive(Debug)]
 pub struct Deployment {
-    /// Addresses.
+    /// Addresses of its VMs.
     pub layout: Layout,
-    /// Platform.
+    /// Stand-in for the platform.
     pub platform: Platform,
-    /// Links.
+    /// Switchboard of all links.
     pub switchboard: Switchboard,
-    /// Upstream VMs.
+    /// Upstream VMs with their engines.
     pub engines: Vec<EngineVm>,
     _stop: watch::Sender<bool>,
 }
 
 impl Deployment {
-    /// Starts everything.
+    /// Starts the stand-ins, the relays, the entries and the agents.
     pub async fn start(plan: &Plan) -> Result<Deployment, DeployError> {
         let per_domain = plan.vms.div_ceil(plan.domains) as u8;
         let mut layout = Layout::cajueiro(plan.net, 1, plan.entries, per_domain, 0);
@@ -108,12 +108,17 @@
         let platform = Platform::start(layout.platform_listen_addrs(), None, stop.clone()).await?;
         platform.set_members(&layout.members());
         let switchboard = Switchboard::default();
-        let p = layout.platform();
-        for addr in [p.table, p.objects, p.members, p.origin] {
+        let platform_addrs = layout.platform();
+        for addr in [
+            platform_addrs.table,
+            platform_addrs.objects,
+            platform_addrs.members,
+            platform_addrs.origin,
+        ] {
             switchboard.relay(addr, layout.listen_addr(addr)).await?;
         }
         if let Some((_, origin)) = plan.rates {
-            switchboard.set_vm_rate(p.origin.ip(), origin, origin);
+            switchboard.set_vm_rate(platform_addrs.origin.ip(), origin, origin);
         }
         let mut deployment = Deployment {
             layout,
@@ -169,7 +174,7 @@
         Ok(())
     }
 
-    /// Publishes weights made from a seed.
+    /// Publishes weights generated from a seed and returns their version.
     pub fn publish(&self, seed: u64, size: usize, chunk: u32) -> Result<Digest, DeployError> {
         let mut weights = vec![0u8; size];
         StdRng::seed_from_u64(seed).fill(&mut weights[..]);
@@ -182,7 +187,7 @@
         Ok(version)
     }
 
-    /// Puts rows in force, each permitted everywhere.
+    /// Applies a table of these rows, each allowed in all failure domains.
     pub async fn apply(&self, rows: &[(&str, Digest)]) -> Result<(), DeployError> {
         let table = self.layout.platform_listen_addrs().table;
         let tables = Tables::new(Kv::new(
@@ -201,43 +206,43 @@
         Ok(())
     }
 
-    /// Waits until a version is loaded on all VMs but those lost; the times, sorted.
+    /// Waits until a version is loaded on all VMs except the lost ones; returns the times, sorted.
     pub async fn wait_until_loaded(
         &self,
         version: Digest,
         lost: &[IpAddr],
     ) -> Result<Vec<Duration>, DeployError> {
-        let begun = Instant::now();
-        let mut left: Vec<&EngineVm> = self.engines.iter().collect();
-        left.retain(|e| !lost.contains(&e.ip()));
+        let start = Instant::now();
+        let mut pending: Vec<&EngineVm> = self.engines.iter().collect();
+        pending.retain(|e| !lost.contains(&e.ip()));
         let mut times = Vec::new();
-        while !left.is_empty() {
-            left.retain(|e| {
+        while !pending.is_empty() {
+            pending.retain(|e| {
                 let loaded = e.engine.has_loaded(&version);
                 if loaded {
-                    times.push(begun.elapsed());
+                    times.push(start.elapsed());
                 }
                 !loaded
             });
-            if begun.elapsed() > WAIT_TIMEOUT {
-                return Err(failed(format!("{} VMs are not ready", left.len())));
+            if start.elapsed() > WAIT_TIMEOUT {
+                return Err(failed(format!("{} VMs are not ready", pending.len())));
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         Ok(times)
     }
 
-    /// Waits until all entries serve a model.
+    /// Waits until all entries serve a model with status 200.
     pub async fn wait_until_live(&self, model: &str) -> Result<(), DeployError> {
         let client = Client::new(DialOptions::with_timeout(Duration::from_secs(1)));
-        let begun = Instant::now();
+        let start = Instant::now();
         for e in self.layout.entry_vms() {
             while send(&client, e.listen, &RequestSpec::completion(model, "probe"))
                 .await
                 .status
                 != 200
             {
-                if begun.elapsed() > WAIT_TIMEOUT {
+                if start.elapsed() > WAIT_TIMEOUT {
                     return Err(failed(format!("{} doesn't serve", e.vm)));
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,8 +1,8 @@
-//! Failures of the bench's tools.
+//! Errors of the bench tools.
 
 use displaydoc::Display;
 
-/// Why a tool failed.
+/// Error of a tool.
 #[derive(Debug, Display)]
 pub enum LabError {
     /// {0}; see --help
@@ -16,7 +16,7 @@
 impl std::error::Error for LabError {}
 
 impl LabError {
-    /// 2 for wrong usage, else 1.
+    /// Returns 2 for a usage error, else 1.
     pub fn exit_code(&self) -> u8 {
         match self {
             LabError::Usage(_) => 2,
--- a/crates/lab/src/layout.rs
+++ b/crates/lab/src/layout.rs
@@ -1,4 +1,4 @@
-//! A deployment on loopback: every VM has an address of its own and fixed ports.
+//! Addresses and settings of a deployment on loopback: each VM has its own address and fixed ports.
 
 use std::fmt::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -7,35 +7,34 @@
 
 use crate::standin::platform::Addrs;
 
-/// Ports of an entry VM.
+/// Ports of an entry VM: callers, control, admin.
 const ENTRY_PORTS: [u16; 3] = [8080, 8081, 8082];
 
-/// Ports of an upstream VM.
+/// Ports of an upstream VM: entries, peers, admin, upstream.
 const AGENT_PORTS: [u16; 4] = [8180, 8181, 8182, 8000];
 
-/// Added to the port of a process behind a relay.
-const BEHIND_RELAY: u16 = 10_000;
+/// Offset of the port on which a process behind a relay listens.
+const RELAY_PORT_OFFSET: u16 = 10_000;
 
-/// First host number of upstream VMs.
-const FIRST_AGENT: u8 = 100;
+/// Offset of the fourth octet of the addresses of upstream VMs.
+const AGENT_HOST_OFFSET: u8 = 100;
 
 /// A deployment: failure domains with their VMs, on `127.NET.0.0/16`.
 #[derive(Debug, Clone)]
 pub struct Layout {
-    /// Second number of the addresses.
+    /// Second octet of the addresses.
     pub net: u8,
-    /// Third number of the first failure domain's addresses.
+    /// Third octet of the addresses of the first failure domain.
     pub base: u8,
     /// Failure domains with their regions.
     pub domains: Vec<(String, String)>,
-    /// Entries in each failure domain.
+    /// Number of entries in each failure domain.
     pub entries: u8,
-    /// Agents beside engines in each failure domain.
+    /// Number of agents with an engine in each failure domain.
     pub engines: u8,
-    /// Agents beside plain services in each failure domain.
+    /// Number of agents with a plain service in each failure domain.
     pub services: u8,
-    /// Whether relays stand before the processes: these then listen on other ports than are
-    /// known of them.
+    /// Whether processes are behind relays; they then listen on other ports than they advertise.
     pub relayed: bool,
 }
 
@@ -46,7 +45,7 @@
     pub vm: String,
     /// Failure domain.
     pub domain: String,
-    /// Callers' address.
+    /// Address for callers.
     pub listen: SocketAddr,
     /// Control address.
     pub control: SocketAddr,
@@ -61,20 +60,20 @@
     pub vm: String,
     /// Failure domain.
     pub domain: String,
-    /// Entries' address.
+    /// Address for entries.
     pub listen: SocketAddr,
-    /// Peers' address.
+    /// Address for peers.
     pub peer: SocketAddr,
     /// Admin address.
     pub admin: SocketAddr,
-    /// Engine or service.
+    /// Address of the engine or service.
     pub upstream: SocketAddr,
     /// Whether the upstream is a plain service.
     pub service: bool,
 }
 
 impl Layout {
-    /// The three failure domains of Cajueiro, with a number of VMs in each.
+    /// Creates the three failure domains of Cajueiro, with a number of VMs in each.
     pub fn cajueiro(net: u8, base: u8, entries: u8, engines: u8, services: u8) -> Layout {
         let domain = |name: &str, region: &str| (name.to_owned(), region.to_owned());
         Layout {
@@ -92,26 +91,26 @@
         }
     }
 
-    /// The address a process listens on, given the one it is known by.
-    pub fn listen_addr(&self, known: SocketAddr) -> SocketAddr {
+    /// Returns the address on which a process listens, given the one it advertises.
+    pub fn listen_addr(&self, advertised: SocketAddr) -> SocketAddr {
         match self.relayed {
-            true => SocketAddr::new(known.ip(), known.port() + BEHIND_RELAY),
-            false => known,
+            true => SocketAddr::new(advertised.ip(), advertised.port() + RELAY_PORT_OFFSET),
+            false => advertised,
         }
     }
 
-    /// Addresses the platform's stand-in listens on.
+    /// Returns the addresses on which the platform's stand-in listens.
     pub fn platform_listen_addrs(&self) -> Addrs {
-        let known = self.platform();
+        let advertised = self.platform();
         Addrs {
-            table: self.listen_addr(known.table),
-            objects: self.listen_addr(known.objects),
-            members: self.listen_addr(known.members),
-            origin: self.listen_addr(known.origin),
+            table: self.listen_addr(advertised.table),
+            objects: self.listen_addr(advertised.objects),
+            members: self.listen_addr(advertised.members),
+            origin: self.listen_addr(advertised.origin),
         }
     }
 
-    /// Addresses of the platform's stand-in.
+    /// Returns the advertised addresses of the platform's stand-in.
     pub fn platform(&self) -> Addrs {
         Addrs {
             table: self.addr(self.domains.len(), 1, 9000),
@@ -126,7 +125,7 @@
         SocketAddr::new(IpAddr::V4(ip), port)
     }
 
-    /// All entry VMs.
+    /// Returns all entry VMs.
     pub fn entry_vms(&self) -> Vec<EntryVm> {
         let mut vms = Vec::new();
         for (d, (domain, _)) in self.domains.iter().enumerate() {
@@ -144,13 +143,13 @@
         vms
     }
 
-    /// All upstream VMs, those with engines first in each failure domain.
+    /// Returns all upstream VMs; in each failure domain, those with engines come first.
     pub fn upstream_vms(&self) -> Vec<UpstreamVm> {
         let mut vms = Vec::new();
         for (d, (domain, _)) in self.domains.iter().enumerate() {
             for n in 1..=self.engines + self.services {
                 let [listen, peer, admin, upstream] =
-                    AGENT_PORTS.map(|port| self.addr(d, FIRST_AGENT + n, port));
+                    AGENT_PORTS.map(|port| self.addr(d, AGENT_HOST_OFFSET + n, port));
                 let service = n > self.engines;
                 let kind = if service { "service" } else { "engine" };
                 vms.push(UpstreamVm {
@@ -167,7 +166,7 @@
         vms
     }
 
-    /// The platform's list of VMs.
+    /// Returns the member list of the platform.
     pub fn members(&self) -> Vec<Member> {
         let entries = self.entry_vms().into_iter().map(|e| Member {
             vm: e.vm,
@@ -186,7 +185,7 @@
         entries.chain(upstreams).collect()
     }
 
-    fn common(&self, role: &str) -> String {
+    fn common_settings(&self, role: &str) -> String {
         let domains: Vec<String> = self
             .domains
             .iter()
@@ -201,33 +200,33 @@
         )
     }
 
-    /// Where a process listens, and where it is reached if that differs.
-    fn write_addr(&self, s: &mut String, field: &str, known: SocketAddr) {
-        let _ = writeln!(s, "{field}: {}", self.listen_addr(known));
+    /// Writes the listen address of a process, and its advertised address if that differs.
+    fn write_addr(&self, s: &mut String, field: &str, advertised: SocketAddr) {
+        let _ = writeln!(s, "{field}: {}", self.listen_addr(advertised));
         if self.relayed {
-            let _ = writeln!(s, "{field}_advertised: {known}");
+            let _ = writeln!(s, "{field}_advertised: {advertised}");
         }
     }
 
-    /// Settings of an entry; each of `more` is a line.
-    pub fn entry_settings(&self, e: &EntryVm, more: &[String]) -> String {
+    /// Returns the settings of an entry, followed by additional lines.
+    pub fn entry_settings(&self, e: &EntryVm, extra_lines: &[String]) -> String {
         let seeds: Vec<String> = self
             .entry_vms()
             .iter()
             .map(|e| e.control.to_string())
             .collect();
-        let mut s = self.common("entry");
+        let mut s = self.common_settings("entry");
         let _ = writeln!(s, "vm: {}\ndomain: {}", e.vm, e.domain);
         let _ = writeln!(s, "source: {}\nadmin: {}", e.listen.ip(), e.admin);
         let _ = writeln!(s, "listen: {}", e.listen);
         self.write_addr(&mut s, "control", e.control);
         let _ = writeln!(s, "platform_members: {}", self.platform().members);
         let _ = writeln!(s, "entries: [{}]", seeds.join(", "));
-        s + &more.join("\n") + "\n"
+        s + &extra_lines.join("\n") + "\n"
     }
 
-    /// Settings of an agent; each of `more` is a line.
-    pub fn agent_settings(&self, u: &UpstreamVm, more: &[String]) -> String {
+    /// Returns the settings of an agent, followed by additional lines.
+    pub fn agent_settings(&self, u: &UpstreamVm, extra_lines: &[String]) -> String {
         let seeds: Vec<String> = self
             .entry_vms()
             .iter()
@@ -235,7 +234,7 @@
             .map(|e| e.control.to_string())
             .collect();
         let kind = if u.service { "service" } else { "engine" };
-        let mut s = self.common("agent");
+        let mut s = self.common_settings("agent");
         let _ = writeln!(s, "vm: {}\ndomain: {}\nkind: {kind}", u.vm, u.domain);
         let _ = writeln!(s, "source: {}\nadmin: {}", u.listen.ip(), u.admin);
         self.write_addr(&mut s, "listen", u.listen);
@@ -243,17 +242,17 @@
         let _ = writeln!(s, "upstream: {}", u.upstream);
         let _ = writeln!(s, "platform_origin: {}", self.platform().origin);
         let _ = writeln!(s, "entries: [{}]", seeds.join(", "));
-        s + &more.join("\n") + "\n"
+        s + &extra_lines.join("\n") + "\n"
     }
 
-    /// Settings of an operator.
+    /// Returns the settings of an operator.
     pub fn operator_settings(&self, author: &str) -> String {
         let admins: Vec<String> = self
             .entry_vms()
             .iter()
             .map(|e| e.admin.to_string())
             .collect();
-        let mut s = self.common("operator");
+        let mut s = self.common_settings("operator");
         let _ = writeln!(s, "author: {author}\nadmins: [{}]", admins.join(", "));
         let _ = writeln!(s, "platform_origin: {}", self.platform().origin);
         s
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,10 +1,9 @@
-//! The bench: stand-ins for what driftnotch meets, and tools that drive it. Not shipped.
+//! Test bench: stand-ins for the systems around driftnotch, and tools that drive it. Not shipped.
 //!
-//! [`standin`] holds the stand-ins (platform, model engine, plain service, and a relay that cuts
-//! or slows a link), each with faults that can be set while it runs. [`layout`] gives every VM of
-//! a deployment its loopback address and writes its settings, [`deployment`] runs one in this
-//! process. [`caller`] sends requests and holds
-//! each answer against what was asked.
+//! [`standin`] contains the stand-ins: the platform, a model engine, a plain service, and a relay
+//! that cuts or slows links. Their faults can be set at runtime. [`layout`] assigns a loopback
+//! address to every VM of a deployment and generates its settings; [`deployment`] runs a deployment
+//! in the current process. [`caller`] sends requests and checks each response against its request.
 
 pub mod caller;
 pub mod deployment;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `driftnotch-lab`: the bench's stand-ins and tools. Not shipped.
+//! `driftnotch-lab`: stand-ins and tools of the test bench. Not shipped.
 
 mod commands;
 mod error;
--- a/crates/lab/src/standin/engine.rs
+++ b/crates/lab/src/standin/engine.rs
@@ -1,8 +1,9 @@
-//! A model engine: loads versions from staged chunks and answers completions.
+//! Stand-in for a model engine: loads versions from staged chunks and serves completions.
 //!
-//! Its answers repeat the prompt's first word in every token, so that a caller can tell its own
-//! answer, whole, from any other. It keeps a ledger of what it ran. Its load reports lag, its
-//! prompt cache is limited, and it batches: the more requests run, the longer a token takes.
+//! Every token of a response repeats the first word of the prompt, which lets a caller recognize its
+//! own response and check that it is complete. The engine records its runs in a ledger. Its prompt
+//! cache is limited, and it batches: the more requests run, the longer a token takes. Agents poll its
+//! load, which makes load reports lag.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,34 +22,34 @@
 use super::fault::SharedFaults;
 use super::platform::fault_request;
 
-/// Largest body, in bytes.
-const MAX_BODY: usize = 64 << 20;
+/// Maximum size of a body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// Longest wait for a body.
-const BODY: Duration = Duration::from_secs(30);
+/// Maximum time to read a body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Tokens of an answer where the request names no number.
-const TOKENS: u32 = 8;
+/// Tokens of a response if the request sets no `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 8;
 
-/// Prompt prefixes the cache holds.
-const CACHE: usize = 32;
+/// Prompt prefixes that fit into the cache.
+const CACHE_CAPACITY: usize = 32;
 
-/// Tokens' worth of time that a prompt takes whose prefix isn't cached.
-const PREFILL: f64 = 10.0;
+/// Prefill time of a prompt without a cached prefix, in multiples of the time of a token.
+const PREFILL_TOKENS: f64 = 10.0;
 
-/// Part of a token's time that each further running request adds.
+/// Share of the time of a token that each further running request adds.
 const BATCH_COST: f64 = 0.05;
 
-/// How an engine behaves.
+/// Behaviour of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Behaviour {
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether orders with an old fencing number are rejected.
     pub enforces_fencing: bool,
-    /// Time of one token with one request running.
+    /// Time per token while one request runs.
     pub token: Duration,
-    /// Requests it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Time to load a version.
+    /// Time that loading a version takes.
     pub load: Duration,
 }
 
@@ -70,9 +71,9 @@
     pub request: String,
     /// First word of the prompt.
     pub marker: String,
-    /// Version it ran with.
+    /// Version of the model.
     pub version: Digest,
-    /// Whether it ran to its end.
+    /// Whether the run completed.
     pub ended: bool,
 }
 
@@ -89,7 +90,7 @@
     slowdown: Option<f64>,
 }
 
-/// An engine.
+/// A running engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
     behaviour: Behaviour,
@@ -98,7 +99,7 @@
     inner: Arc<Mutex<Inner>>,
 }
 
-/// The fields of a completion that matter to the engine.
+/// The fields of a completion request that the engine reads.
 #[derive(Debug, Deserialize)]
 struct Completion {
     #[serde(default)]
@@ -110,7 +111,7 @@
 }
 
 impl Engine {
-    /// Starts an engine.
+    /// Starts an engine on an address.
     pub async fn start(
         addr: SocketAddr,
         behaviour: Behaviour,
@@ -122,8 +123,8 @@
             inner: Arc::default(),
         };
         engine.inner().incarnation = unix_ms();
-        let serving = engine.clone();
-        super::serve(addr, stop, move |req| handle(serving.clone(), req)).await?;
+        let handler_engine = engine.clone();
+        super::serve(addr, stop, move |req| handle(handler_engine.clone(), req)).await?;
         Ok(engine)
     }
 
@@ -131,7 +132,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Starts it anew, empty; the ledger stays, because it is the bench's.
+    /// Simulates a restart: a new incarnation without staged or loaded versions. The ledger stays,
+    /// because the bench checks responses against all runs.
     pub fn restart(&self) {
         let mut inner = self.inner();
         inner.incarnation += 1;
@@ -140,27 +142,27 @@
         inner.cache.clear();
     }
 
-    /// Makes every token take so many times as long.
+    /// Multiplies the time of every token by a factor.
     pub fn slow_down(&self, factor: f64) {
         self.inner().slowdown = Some(factor);
     }
 
-    /// Requests whose prompt's prefix was cached.
+    /// Returns the number of requests whose prompt prefix was cached.
     pub fn cache_hits(&self) -> u64 {
         self.inner().cache_hits
     }
 
-    /// What it ran.
+    /// Returns the recorded runs.
     pub fn ledger(&self) -> Vec<Run> {
         self.inner().ledger.clone()
     }
 
-    /// Whether a version is loaded.
+    /// Returns whether a version is loaded.
     pub fn has_loaded(&self, version: &Digest) -> bool {
         self.inner().loaded.contains(version)
     }
 
-    /// Chunks staged of a version.
+    /// Returns the number of staged chunks of a version.
     pub fn staged_chunks(&self, version: &Digest) -> usize {
         self.inner()
             .staged
@@ -168,7 +170,7 @@
             .map_or(0, |chunks| chunks.len())
     }
 
-    /// Its state.
+    /// Returns the state as served at `/state`.
     pub fn state(&self) -> EngineState {
         let inner = self.inner();
         EngineState {
@@ -187,8 +189,8 @@
         }
     }
 
-    /// Takes an order's fencing number, or refuses it.
-    fn fence(&self, headers: &HeaderMap) -> Option<Response> {
+    /// Accepts the fencing number of an order, or returns the response that rejects the order.
+    fn check_fence(&self, headers: &HeaderMap) -> Option<Response> {
         let fence: u64 = web::header(headers, header::ENGINE_FENCE)
             .and_then(|s| s.parse().ok())
             .unwrap_or(0);
@@ -220,14 +222,14 @@
     async fn load(&self, order: LoadOrder) -> Response {
         tokio::time::sleep(self.behaviour.load).await;
         let mut inner = self.inner();
-        let whole = inner.staged.get(&order.version).is_some_and(|staged| {
+        let is_complete = inner.staged.get(&order.version).is_some_and(|staged| {
             let chunks = order.manifest.chunks.iter().enumerate();
             order.manifest.digest() == order.version
                 && chunks
                     .clone()
                     .all(|(i, c)| staged.get(&(i as u32)) == Some(c))
         });
-        if !whole {
+        if !is_complete {
             return web::text(422, "not all chunks are staged, or some are wrong\n");
         }
         inner.loaded.insert(order.version);
@@ -242,8 +244,8 @@
         web::text(200, "dropped\n")
     }
 
-    /// Begins a run, or refuses it; the run's index in the ledger.
-    fn begin(
+    /// Starts a run, or rejects it; returns its index in the ledger and its version.
+    fn start_run(
         &self,
         headers: &HeaderMap,
         completion: &Completion,
@@ -269,27 +271,32 @@
         Ok((inner.ledger.len() - 1, version))
     }
 
-    /// Time to the first token: a prompt whose prefix is cached needs less.
-    fn first_token(&self, prompt: &str) -> Duration {
-        let start = &prompt.as_bytes()[..prompt.len().min(64)];
-        let digest = Digest::of(start);
-        let prefix = u64::from_le_bytes(digest.as_bytes()[..8].try_into().expect("eight bytes"));
+    /// Returns the time to the first token, which is shorter if the prompt prefix is cached; adds the
+    /// prefix to the cache.
+    fn time_to_first_token(&self, prompt: &str) -> Duration {
+        let prefix = &prompt.as_bytes()[..prompt.len().min(64)];
+        let digest = Digest::of(prefix);
+        let prefix = u64::from_le_bytes(
+            digest.as_bytes()[..8]
+                .try_into()
+                .expect("the slice has 8 bytes"),
+        );
         let mut inner = self.inner();
         let hit = inner.cache.contains(&prefix);
         inner.cache.retain(|p| *p != prefix);
         inner.cache.push(prefix);
-        if inner.cache.len() > CACHE {
+        if inner.cache.len() > CACHE_CAPACITY {
             inner.cache.remove(0);
         }
         inner.cache_hits += u64::from(hit);
-        let tokens = if hit { 1.0 } else { PREFILL };
+        let tokens = if hit { 1.0 } else { PREFILL_TOKENS };
         self.behaviour
             .token
             .mul_f64(tokens * inner.slowdown.unwrap_or(1.0))
     }
 
-    /// Time of one token at the present batch.
-    fn token(&self) -> Duration {
+    /// Returns the time per token at the current batch size.
+    fn time_per_token(&self) -> Duration {
         let inner = self.inner();
         let batch = 1.0 + f64::from(inner.running.max(1) - 1) * BATCH_COST;
         self.behaviour
@@ -298,34 +305,34 @@
     }
 }
 
-/// A run that counts as running until dropped.
-struct Running {
+/// A run that occupies a slot until dropped.
+struct RunGuard {
     engine: Engine,
     index: usize,
-    ended: bool,
+    is_completed: bool,
 }
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let mut inner = self.engine.inner();
         inner.running = inner.running.saturating_sub(1);
-        let ended = self.ended;
+        let is_completed = self.is_completed;
         if let Some(run) = inner.ledger.get_mut(self.index) {
-            run.ended = ended;
+            run.ended = is_completed;
         }
     }
 }
 
 async fn handle(engine: Engine, req: Request) -> Response {
-    if let Some(set) = fault_request(&engine.faults, &req) {
-        return set.apply(&engine.faults, req).await;
+    if let Some(set_faults) = fault_request(&engine.faults, &req) {
+        return set_faults.apply(&engine.faults, req).await;
     }
     if let Some(res) = engine.faults.apply_to_request().await {
         return res;
     }
     let (head, body) = req.into_parts();
     let path = head.uri.path().to_owned();
-    let Ok(buf) = read_body(body, MAX_BODY, BODY).await else {
+    let Ok(buf) = read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
         return web::text(400, "bad body\n");
     };
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
@@ -333,59 +340,72 @@
         (Method::GET, ["state"]) => json(&engine.state()),
         (Method::GET, ["ledger"]) => json(&engine.ledger()),
         (Method::PUT, ["stage", version, chunk]) => {
-            match (engine.fence(&head.headers), version.parse(), chunk.parse()) {
-                (Some(refused), ..) => refused,
+            match (
+                engine.check_fence(&head.headers),
+                version.parse(),
+                chunk.parse(),
+            ) {
+                (Some(rejection), ..) => rejection,
                 (None, Ok(version), Ok(chunk)) => engine.stage(version, chunk, &buf),
                 _ => web::text(400, "no version or chunk\n"),
             }
         }
         (Method::POST, ["load"]) => {
-            match (engine.fence(&head.headers), serde_json::from_slice(&buf)) {
-                (Some(refused), _) => refused,
+            match (
+                engine.check_fence(&head.headers),
+                serde_json::from_slice(&buf),
+            ) {
+                (Some(rejection), _) => rejection,
                 (None, Ok(order)) => engine.load(order).await,
                 (None, Err(e)) => web::text(400, format!("{e}\n")),
             }
         }
         (Method::POST, ["unload"]) => {
-            match (engine.fence(&head.headers), serde_json::from_slice(&buf)) {
-                (Some(refused), _) => refused,
+            match (
+                engine.check_fence(&head.headers),
+                serde_json::from_slice(&buf),
+            ) {
+                (Some(rejection), _) => rejection,
                 (None, Ok(order)) => engine.unload(&order),
                 (None, Err(e)) => web::text(400, format!("{e}\n")),
             }
         }
-        (Method::POST, ["v1", ..]) => complete(engine, &head.headers, &buf).await,
+        (Method::POST, ["v1", ..]) => handle_completion(engine, &head.headers, &buf).await,
         _ => web::text(404, "no such path\n"),
     }
 }
 
 fn json(value: &impl Serialize) -> Response {
-    web::json(200, serde_json::to_string(value).expect("plain data"))
+    web::json(
+        200,
+        serde_json::to_string(value).expect("the value serializes"),
+    )
 }
 
-async fn complete(engine: Engine, headers: &HeaderMap, buf: &[u8]) -> Response {
+async fn handle_completion(engine: Engine, headers: &HeaderMap, buf: &[u8]) -> Response {
     let completion: Completion = match serde_json::from_slice(buf) {
         Ok(completion) => completion,
         Err(e) => return web::text(400, format!("{e}\n")),
     };
-    let (index, version) = match engine.begin(headers, &completion) {
-        Ok(begun) => begun,
-        Err(refused) => return *refused,
+    let (index, version) = match engine.start_run(headers, &completion) {
+        Ok(run) => run,
+        Err(rejection) => return *rejection,
     };
-    let mut running = Running {
+    let mut running = RunGuard {
         engine: engine.clone(),
         index,
-        ended: false,
+        is_completed: false,
     };
-    let tokens = completion.max_tokens.unwrap_or(TOKENS);
-    tokio::time::sleep(engine.first_token(&completion.prompt)).await;
+    let tokens = completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+    tokio::time::sleep(engine.time_to_first_token(&completion.prompt)).await;
     let mut res = match completion.stream {
-        true => events(running, marker(&completion.prompt).to_owned(), tokens),
+        true => event_stream(running, marker(&completion.prompt).to_owned(), tokens),
         false => {
             for _ in 1..tokens {
-                tokio::time::sleep(engine.token()).await;
+                tokio::time::sleep(engine.time_per_token()).await;
             }
-            running.ended = true;
-            web::json(200, whole_answer(marker(&completion.prompt), tokens))
+            running.is_completed = true;
+            web::json(200, completion_json(marker(&completion.prompt), tokens))
         }
     };
     let request = web::header(headers, header::ENGINE_REQUEST).unwrap_or_default();
@@ -398,20 +418,20 @@
     res
 }
 
-fn events(running: Running, marker: String, tokens: u32) -> Response {
+fn event_stream(running: RunGuard, marker: String, tokens: u32) -> Response {
     let frames = stream::unfold((running, 0), move |(mut running, i)| {
         let marker = marker.clone();
         async move {
             let text = match i {
                 i if i < tokens => {
                     if i > 0 {
-                        let token = running.engine.token();
-                        tokio::time::sleep(token).await;
+                        let time = running.engine.time_per_token();
+                        tokio::time::sleep(time).await;
                     }
-                    event(&token_text(&marker, i))
+                    token_event(&token_text(&marker, i))
                 }
                 i if i == tokens => {
-                    running.ended = true;
+                    running.is_completed = true;
                     "data: [DONE]\n\n".to_owned()
                 }
                 _ => return None,
@@ -425,21 +445,21 @@
     res
 }
 
-fn event(token: &str) -> String {
+fn token_event(token: &str) -> String {
     format!("data: {{\"choices\":[{{\"text\":\"{token}\"}}]}}\n\n")
 }
 
-/// Token `i` of the answer to a marker.
+/// Returns token `i` of the response to a marker.
 pub fn token_text(marker: &str, i: u32) -> String {
     format!("{marker}.{i} ")
 }
 
-/// The text of the whole answer to a marker.
+/// Returns the complete text of the response to a marker.
 pub fn complete_text(marker: &str, tokens: u32) -> String {
     (0..tokens).map(|i| token_text(marker, i)).collect()
 }
 
-fn whole_answer(marker: &str, tokens: u32) -> String {
+fn completion_json(marker: &str, tokens: u32) -> String {
     let text = complete_text(marker, tokens);
     format!("{{\"object\":\"text_completion\",\"choices\":[{{\"text\":\"{text}\"}}]}}")
 }
--- a/crates/lab/src/standin/fault.rs
+++ b/crates/lab/src/standin/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a stand-in, set by `PUT /fault` or in process.
+//! Faults of a stand-in, set by `PUT /fault` or in the same process.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,29 +8,29 @@
 use serde::{Deserialize, Serialize};
 use web::{BodyError, Response};
 
-/// What is wrong with a stand-in.
+/// Faults that a stand-in injects.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// It answers 503 to everything.
+    /// Whether all requests are answered with 503.
     pub down: bool,
-    /// It takes requests and never answers.
+    /// Whether requests are accepted and never answered.
     pub hang: bool,
-    /// It answers after this many milliseconds.
+    /// Delay of each response, in milliseconds.
     pub delay_ms: u64,
-    /// The next so many writes take effect and their answer is lost.
+    /// Number of next writes that take effect but whose response is lost.
     pub lose_writes: u32,
-    /// The next so many writes are lost before they take effect.
+    /// Number of next writes that are lost before they take effect.
     pub drop_writes: u32,
-    /// It takes so many writes a second and answers 429 to the others; 0 is no bound.
+    /// Writes accepted per second; others are answered with 429. 0 is unlimited.
     pub max_writes_s: u32,
-    /// The next so many bodies have a byte changed.
+    /// Number of next bodies in which a byte is changed.
     pub corrupt: u32,
-    /// The next so many bodies are cut short.
+    /// Number of next bodies that are truncated.
     pub truncate: u32,
 }
 
-/// Handle on the faults of a stand-in.
+/// Shared handle to the faults of a stand-in.
 #[derive(Debug, Clone, Default)]
 pub struct SharedFaults {
     faults: Arc<Mutex<Faults>>,
@@ -43,7 +43,7 @@
         *self.faults.lock().unwrap_or_else(PoisonError::into_inner) = faults;
     }
 
-    /// The faults.
+    /// Returns the faults.
     pub fn get(&self) -> Faults {
         self.faults
             .lock()
@@ -51,16 +51,16 @@
             .clone()
     }
 
-    /// Uses up one of a counted fault; `true` if there was one.
+    /// Decrements a counted fault; returns whether it was above 0.
     pub fn consume(&self, count: impl Fn(&mut Faults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().unwrap_or_else(PoisonError::into_inner);
         let n = count(&mut faults);
-        let some = *n > 0;
+        let was_set = *n > 0;
         *n = n.saturating_sub(1);
-        some
+        was_set
     }
 
-    /// Counts a write; `false` where it is one too many in this second.
+    /// Counts a write; returns `false` if it exceeds the limit of the current second.
     pub fn allow_write(&self) -> bool {
         let limit = self.get().max_writes_s;
         let mut writes = self.writes.lock().unwrap_or_else(PoisonError::into_inner);
@@ -75,7 +75,7 @@
         limit == 0 || n <= limit
     }
 
-    /// Delays, hangs or refuses; `None` where the request goes on.
+    /// Delays, hangs or rejects a request; returns `None` if the request proceeds.
     pub async fn apply_to_request(&self) -> Option<Response> {
         let faults = self.get();
         if faults.delay_ms > 0 {
@@ -88,8 +88,8 @@
     }
 }
 
-/// An answer that breaks off after its head.
-pub fn broken() -> Response {
+/// Returns a response that breaks off after its head.
+pub fn interrupted_response() -> Response {
     let frames = futures_util::stream::iter([Err::<Frame<bytes::Bytes>, _>(
         BodyError::Interrupted("fault"),
     )]);
--- a/crates/lab/src/standin/kv.rs
+++ b/crates/lab/src/standin/kv.rs
@@ -1,4 +1,5 @@
-//! Keys and values with tags, conditions and transactions: the platform's table and objects.
+//! In-memory key-value store with tags, conditions and transactions, behind the platform's table
+//! and object store.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,7 +12,7 @@
 struct Value {
     buf: Bytes,
     tag: u64,
-    until: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
@@ -22,7 +23,7 @@
     writes: u64,
 }
 
-/// The values.
+/// The store.
 #[derive(Debug, Default)]
 pub struct Store {
     inner: Mutex<Inner>,
@@ -33,14 +34,14 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A value with its tag.
+    /// Returns a value with its tag.
     pub fn get(&self, key: &str) -> Option<(Bytes, String)> {
         let mut inner = self.inner();
         inner.reads += 1;
         inner.live(key).map(|v| (v.buf.clone(), tag(v.tag)))
     }
 
-    /// Writes a value under a condition; the tag, or `None` where the condition failed.
+    /// Writes a value under a condition; returns its tag, or `None` if the condition failed.
     pub fn put(&self, key: &str, buf: Bytes, unless: Option<&Unless>) -> Option<String> {
         let mut inner = self.inner();
         inner.writes += 1;
@@ -48,7 +49,7 @@
         allowed.then(|| inner.write(key, buf, None))
     }
 
-    /// Commits a transaction, or names the keys whose condition failed.
+    /// Commits a transaction, or returns the keys whose condition failed.
     pub fn commit(&self, transaction: Transaction) -> Result<Committed, Refusal> {
         let mut inner = self.inner();
         inner.writes += 1;
@@ -70,7 +71,7 @@
         Ok(Committed { tags })
     }
 
-    /// Reads and writes so far.
+    /// Returns the number of reads and of writes.
     pub fn counts(&self) -> (u64, u64) {
         let inner = self.inner();
         (inner.reads, inner.writes)
@@ -81,8 +82,8 @@
     fn live(&self, key: &str) -> Option<&Value> {
         let value = self.values.get(key)?;
         value
-            .until
-            .is_none_or(|until| until > Instant::now())
+            .expires_at
+            .is_none_or(|expires_at| expires_at > Instant::now())
             .then_some(value)
     }
 
@@ -99,7 +100,7 @@
         let value = Value {
             buf,
             tag: self.last_tag,
-            until: ttl_s.map(|s| Instant::now() + Duration::from_secs(s)),
+            expires_at: ttl_s.map(|s| Instant::now() + Duration::from_secs(s)),
         };
         self.values.insert(key.to_owned(), value);
         tag(self.last_tag)
--- a/crates/lab/src/standin/mod.rs
+++ b/crates/lab/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for outside systems, each by its published protocol.
+//! Stand-ins for external systems; each implements the published protocol of its system.
 
 pub mod engine;
 pub mod fault;
@@ -13,7 +13,7 @@
 use tokio::net::TcpListener;
 use web::{Request, Response, ServerLimits, StopSignal};
 
-/// Serves a stand-in on an address until `stop`.
+/// Serves a stand-in on an address until the stop signal.
 pub async fn serve<H, F>(addr: SocketAddr, stop: StopSignal, handler: H) -> std::io::Result<()>
 where
     H: Fn(Request) -> F + Clone + Send + Sync + 'static,
--- a/crates/lab/src/standin/origin.rs
+++ b/crates/lab/src/standin/origin.rs
@@ -1,4 +1,4 @@
-//! The origin of weights, with a link of a given rate.
+//! Weights and statistics of the origin's stand-in, and links limited to a rate.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-/// How late a relay may wake without the link losing its time.
-const LATE: Duration = Duration::from_millis(4);
+/// Maximum wake-up delay of a relay that costs the link no capacity.
+const MAX_WAKE_DELAY: Duration = Duration::from_millis(4);
 
-/// A link that carries so many bytes a second.
+/// A link limited to a rate in bytes per second.
 #[derive(Debug)]
 pub struct PacedLink {
     state: Mutex<Pace>,
@@ -23,7 +23,7 @@
 }
 
 impl PacedLink {
-    /// A link of a rate in bytes a second; `None` has no bound.
+    /// Creates a link with a rate in bytes per second; `None` is unlimited.
     pub fn new(rate: Option<u64>) -> PacedLink {
         let free_at = Instant::now();
         PacedLink {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Changes the rate; what waits already is carried at the one before.
+    /// Changes the rate; bytes already queued are transmitted at the previous one.
     pub fn set_rate(&self, rate: Option<u64>) {
         self.lock().rate = rate;
     }
@@ -40,7 +40,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until the link has carried the bytes.
+    /// Waits until the link has transmitted the bytes.
     pub async fn transmit(&self, bytes: usize) {
         let done = self.lock().queue(bytes);
         if let Some(done) = done {
@@ -50,18 +50,21 @@
 }
 
 impl Pace {
-    /// When the bytes will have been carried; `None` where there is no bound.
+    /// Queues the bytes and returns when they will be transmitted; `None` without a limit.
     fn queue(&mut self, bytes: usize) -> Option<Instant> {
         let rate = self.rate?;
-        let took = Duration::from_secs_f64(bytes as f64 / rate as f64);
+        let duration = Duration::from_secs_f64(bytes as f64 / rate as f64);
         let now = Instant::now();
-        // A link goes on sending what has queued while the relay was late to wake.
-        self.free_at = self.free_at.max(now.checked_sub(LATE).unwrap_or(now)) + took;
+        // A real link keeps transmitting queued bytes while the relay is late to wake.
+        self.free_at = self
+            .free_at
+            .max(now.checked_sub(MAX_WAKE_DELAY).unwrap_or(now))
+            + duration;
         Some(self.free_at)
     }
 }
 
-/// What was drawn from the origin.
+/// Statistics of reads from the origin.
 #[derive(Debug, Clone, Copy, Default, Serialize, serde::Deserialize)]
 pub struct OriginStats {
     /// Bytes sent.
@@ -70,7 +73,7 @@
     pub reads: u64,
 }
 
-/// Weights by version, as their ranges were published.
+/// Weights by version, assembled from the ranges that were published.
 #[derive(Debug, Default)]
 pub struct Weights {
     versions: Mutex<Map<Digest, Vec<u8>>>,
@@ -78,7 +81,7 @@
 }
 
 impl Weights {
-    /// Takes a range of a version.
+    /// Stores a range of a version.
     pub fn put(&self, version: Digest, first: usize, buf: &[u8]) {
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         let weights = versions.entry(version).or_default();
@@ -88,7 +91,7 @@
         weights[first..first + buf.len()].copy_from_slice(buf);
     }
 
-    /// A range of a version.
+    /// Returns a range of a version, `last` included, and counts the read.
     pub fn get(&self, version: &Digest, first: usize, last: usize) -> Option<Bytes> {
         let versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         let range = versions.get(version)?.get(first..=last)?;
@@ -98,7 +101,7 @@
         Some(Bytes::copy_from_slice(range))
     }
 
-    /// What was drawn.
+    /// Returns the statistics of reads.
     pub fn stats(&self) -> OriginStats {
         *self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/lab/src/standin/platform.rs
+++ b/crates/lab/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: table service, object store, list of VMs and origin of weights.
+//! Stand-in for the platform: table service, object store, member list and origin of weights.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,30 +12,30 @@
 use store::kv::MAX_VALUE;
 use web::{Request, Response, StopSignal, read_body};
 
-use super::fault::{SharedFaults, broken};
+use super::fault::{SharedFaults, interrupted_response};
 use super::kv::Store;
 use super::origin::{OriginStats, PacedLink, Weights};
 
-/// Longest wait for a body.
-const BODY: Duration = Duration::from_secs(30);
+/// Maximum time to read a body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Key of the list of VMs.
-const MEMBERS: &str = "members";
+/// Key of the member list.
+const MEMBERS_KEY: &str = "members";
 
-/// Addresses of the platform's services.
+/// Addresses of the platform's services and its origin.
 #[derive(Debug, Clone, Copy)]
 pub struct Addrs {
     /// Table service.
     pub table: SocketAddr,
     /// Object store.
     pub objects: SocketAddr,
-    /// List of VMs.
+    /// Member list.
     pub members: SocketAddr,
     /// Origin of weights.
     pub origin: SocketAddr,
 }
 
-/// One service of the platform.
+/// A key-value service of the platform.
 #[derive(Debug, Clone, Default)]
 pub struct Service {
     /// Values.
@@ -44,7 +44,7 @@
     pub faults: SharedFaults,
 }
 
-/// The origin.
+/// The origin of weights.
 #[derive(Debug, Clone)]
 pub struct Origin {
     /// Weights.
@@ -61,13 +61,13 @@
     pub table: Service,
     /// Object store.
     pub objects: Service,
-    /// List of VMs.
+    /// Member list.
     pub members: Service,
     /// Origin of weights.
     pub origin: Origin,
 }
 
-/// Counts of a service, at `/stats`.
+/// Reads and writes of a service, returned at `/stats`.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Counts {
     /// Reads.
@@ -77,7 +77,7 @@
 }
 
 impl Platform {
-    /// Starts the platform; the origin's link carries `rate` bytes a second.
+    /// Starts the platform; the origin's link transmits at most `rate` bytes per second.
     pub async fn start(
         addrs: Addrs,
         rate: Option<u64>,
@@ -100,29 +100,38 @@
         ];
         for (addr, service) in services {
             let service = service.clone();
-            super::serve(addr, stop.clone(), move |req| values(service.clone(), req)).await?;
+            super::serve(addr, stop.clone(), move |req| {
+                handle_kv(service.clone(), req)
+            })
+            .await?;
         }
         let origin = platform.origin.clone();
-        super::serve(addrs.origin, stop, move |req| weights(origin.clone(), req)).await?;
+        super::serve(addrs.origin, stop, move |req| {
+            handle_origin(origin.clone(), req)
+        })
+        .await?;
         Ok(platform)
     }
 
-    /// Sets the list of VMs.
+    /// Sets the member list.
     pub fn set_members(&self, members: &[store::Member]) {
-        let buf = serde_json::to_vec(members).expect("plain data");
-        self.members.store.put(MEMBERS, buf.into(), None);
+        let buf = serde_json::to_vec(members).expect("a member list serializes");
+        self.members.store.put(MEMBERS_KEY, buf.into(), None);
     }
 }
 
-/// Answers as table service, object store or list of VMs.
-async fn values(service: Service, req: Request) -> Response {
-    if let Some(res) = fault_request(&service.faults, &req) {
-        return res.apply(&service.faults, req).await;
+/// Handles a request to the table service, the object store or the member list.
+async fn handle_kv(service: Service, req: Request) -> Response {
+    if let Some(set_faults) = fault_request(&service.faults, &req) {
+        return set_faults.apply(&service.faults, req).await;
     }
     if req.uri().path() == "/stats" {
         let (reads, writes) = service.store.counts();
         let counts = Counts { reads, writes };
-        return web::json(200, serde_json::to_string(&counts).expect("plain data"));
+        return web::json(
+            200,
+            serde_json::to_string(&counts).expect("counts serialize"),
+        );
     }
     if let Some(res) = service.faults.apply_to_request().await {
         return res;
@@ -132,7 +141,7 @@
     let key = path
         .strip_prefix("/kv/")
         .unwrap_or(path.trim_start_matches('/'));
-    let Ok(buf) = read_body(body, MAX_VALUE, BODY).await else {
+    let Ok(buf) = read_body(body, MAX_VALUE, BODY_TIMEOUT).await else {
         return web::text(400, "bad body\n");
     };
     match head.method {
@@ -163,14 +172,14 @@
         return web::text(429, "too many writes\n");
     }
     if service.faults.consume(|f| &mut f.drop_writes) {
-        return broken();
+        return interrupted_response();
     }
     let res = match head.method == Method::POST {
         true => commit(service, &buf),
         false => put(service, key, &head.headers, buf),
     };
     match service.faults.consume(|f| &mut f.lose_writes) {
-        true => broken(),
+        true => interrupted_response(),
         false => res,
     }
 }
@@ -199,19 +208,28 @@
         return web::text(400, "no transaction\n");
     };
     match service.store.commit(transaction) {
-        Ok(committed) => web::json(200, serde_json::to_string(&committed).expect("plain data")),
-        Err(refusal) => web::json(412, serde_json::to_string(&refusal).expect("plain data")),
+        Ok(committed) => web::json(
+            200,
+            serde_json::to_string(&committed).expect("tags serialize"),
+        ),
+        Err(refusal) => web::json(
+            412,
+            serde_json::to_string(&refusal).expect("a refusal serializes"),
+        ),
     }
 }
 
-/// Answers as origin.
-async fn weights(origin: Origin, req: Request) -> Response {
-    if let Some(res) = fault_request(&origin.faults, &req) {
-        return res.apply(&origin.faults, req).await;
+/// Handles a request to the origin.
+async fn handle_origin(origin: Origin, req: Request) -> Response {
+    if let Some(set_faults) = fault_request(&origin.faults, &req) {
+        return set_faults.apply(&origin.faults, req).await;
     }
     if req.uri().path() == "/stats" {
         let stats: OriginStats = origin.weights.stats();
-        return web::json(200, serde_json::to_string(&stats).expect("plain data"));
+        return web::json(
+            200,
+            serde_json::to_string(&stats).expect("statistics serialize"),
+        );
     }
     if let Some(res) = origin.faults.apply_to_request().await {
         return res;
@@ -222,12 +240,12 @@
         return web::text(404, "use /weights/VERSION\n");
     };
     match head.method {
-        Method::GET => send(&origin, version, &head.headers).await,
+        Method::GET => send_range(&origin, version, &head.headers).await,
         Method::PUT => {
-            let Ok(buf) = read_body(body, 1 << 30, BODY).await else {
+            let Ok(buf) = read_body(body, 1 << 30, BODY_TIMEOUT).await else {
                 return web::text(400, "bad body\n");
             };
-            match first_of(web::header(&head.headers, "content-range"), "bytes ") {
+            match parse_range(web::header(&head.headers, "content-range"), "bytes ") {
                 Some((first, _)) => origin.weights.put(version, first, &buf),
                 None => return web::text(400, "no content-range\n"),
             }
@@ -237,8 +255,8 @@
     }
 }
 
-async fn send(origin: &Origin, version: Digest, headers: &HeaderMap) -> Response {
-    let range = first_of(web::header(headers, "range"), "bytes=");
+async fn send_range(origin: &Origin, version: Digest, headers: &HeaderMap) -> Response {
+    let range = parse_range(web::header(headers, "range"), "bytes=");
     let buf = range.and_then(|(first, last)| origin.weights.get(&version, first, last));
     let Some(buf) = buf else {
         return web::text(404, "no such range\n");
@@ -249,7 +267,7 @@
     res
 }
 
-/// The bytes, apply_body_faults where a fault says so.
+/// Returns the body, corrupted or truncated if such a fault is set.
 pub fn apply_body_faults(faults: &SharedFaults, buf: Bytes) -> Bytes {
     if faults.consume(|f| &mut f.corrupt) {
         let mut changed = BytesMut::from(&buf[..]);
@@ -262,30 +280,30 @@
     }
 }
 
-fn first_of(value: Option<&str>, prefix: &str) -> Option<(usize, usize)> {
+fn parse_range(value: Option<&str>, prefix: &str) -> Option<(usize, usize)> {
     let range = value?.strip_prefix(prefix)?;
     let range = range.split('/').next()?;
     let (first, last) = range.split_once('-')?;
     Some((first.parse().ok()?, last.parse().ok()?))
 }
 
-/// A request that sets faults.
+/// A request that sets the faults of a stand-in.
 pub struct SetFaults;
 
-/// Whether a request sets faults.
+/// Returns `Some` if a request sets the faults of a stand-in.
 pub fn fault_request(_faults: &SharedFaults, req: &Request) -> Option<SetFaults> {
     (req.uri().path() == "/fault" && req.method() == Method::PUT).then_some(SetFaults)
 }
 
 impl SetFaults {
-    /// Reads and sets the faults.
+    /// Reads the body and sets the faults in it.
     pub async fn apply(self, faults: &SharedFaults, req: Request) -> Response {
-        let Ok(buf) = read_body(req.into_body(), MAX_VALUE, BODY).await else {
+        let Ok(buf) = read_body(req.into_body(), MAX_VALUE, BODY_TIMEOUT).await else {
             return web::text(400, "bad body\n");
         };
         match serde_json::from_slice(&buf) {
-            Ok(set) => {
-                faults.set(set);
+            Ok(new_faults) => {
+                faults.set(new_faults);
                 web::text(204, "")
             }
             Err(e) => web::text(400, format!("{e}\n")),
--- a/crates/lab/src/standin/relay.rs
+++ b/crates/lab/src/standin/relay.rs
@@ -1,9 +1,9 @@
-//! Relays on TCP links, and a switchboard that cuts, stalls or slows them.
+//! TCP relays on the links between processes, and a switchboard that cuts, stalls or slows them.
 //!
-//! Every VM's connections come from its own address, so a relay knows which VM calls, and which
-//! side: a failure domain or the platform. The third number of an address is its side. A VM's link
-//! can be given a rate; all that the VM sends, and all that it gets, then share it. So can the link
-//! towards one address, which all that call there share.
+//! Each VM connects from its own address, which identifies the calling VM and its side: a failure
+//! domain or the platform. The third octet of an address is its side. A VM's link can be given a
+//! rate, shared by everything the VM sends and, separately, by everything it receives. The link
+//! towards a single address can be given a rate too, shared by all its callers.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,39 +17,39 @@
 
 use super::origin::PacedLink;
 
-/// Bytes read at once; small, so that streams on one link take turns.
-const BUF: usize = 4 << 10;
+/// Bytes per read; small, which lets the streams on one link interleave.
+const READ_BYTES: usize = 4 << 10;
 
-/// Reads on their way between the two ends' links.
-const BETWEEN: usize = 2;
+/// Reads buffered between the sender's link and the receiver's.
+const MAX_IN_FLIGHT_READS: usize = 2;
 
-/// Reads up to this size are heads and small answers.
-const SMALL: usize = 2 << 10;
+/// Reads of up to this many bytes are response heads and small responses, which are never corrupted.
+const MAX_SMALL_READ_BYTES: usize = 2 << 10;
 
-/// A failure domain or the platform, by the third number of its addresses.
+/// A failure domain or the platform, identified by the third octet of its addresses.
 pub type Side = u8;
 
 /// State of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkState {
-    /// It carries.
+    /// Bytes are forwarded.
     Up,
-    /// Connections are closed, new ones too.
+    /// Open connections are closed, and new ones are closed once accepted.
     Cut,
-    /// Connections are closed, and new ones refused: nothing listens there.
+    /// Open connections are closed, and new ones are refused: nothing listens on the address.
     Refused,
-    /// Connections stay open and carry nothing.
+    /// Connections stay open and forward nothing.
     Stalled,
-    /// Each read is passed on after a pause.
+    /// Each read is forwarded after a pause.
     Slow(Duration),
-    /// What comes back is held up; what goes there is carried.
+    /// Requests are forwarded, responses are withheld.
     Deaf,
-    /// Every larger read that comes back has a byte changed.
+    /// Each large read of a response has one byte changed.
     Corrupt,
 }
 
 impl LinkState {
-    /// Whether open connections are closed.
+    /// Returns whether open connections are closed in this state.
     fn closes(self) -> bool {
         matches!(self, LinkState::Cut | LinkState::Refused)
     }
@@ -60,11 +60,11 @@
     between: Map<(Side, Side), LinkState>,
     towards: Map<SocketAddr, LinkState>,
     disconnected: Set<IpAddr>,
-    /// How often the open connections towards an address fell silent.
+    /// How many times the open connections towards an address were stalled.
     stalls: Map<SocketAddr, u64>,
 }
 
-/// The link of one VM, or towards one address, both ways.
+/// The link of one VM, or towards one address, in both directions.
 #[derive(Debug, Clone)]
 struct VmLink {
     up: Arc<PacedLink>,
@@ -84,7 +84,7 @@
 
 type AddrLinks = Arc<Mutex<Map<SocketAddr, VmLink>>>;
 
-/// State of the links between sides.
+/// Controls the state and the rates of the relayed links.
 #[derive(Debug, Clone)]
 pub struct Switchboard {
     states: Arc<watch::Sender<States>>,
@@ -103,7 +103,7 @@
 }
 
 impl Switchboard {
-    /// Sets the state of all links between two sides, both ways.
+    /// Sets the state of all links between two sides, in both directions.
     pub fn set(&self, a: Side, b: Side, state: LinkState) {
         self.states.send_modify(|states| {
             states.between.insert((a, b), state);
@@ -118,15 +118,16 @@
         });
     }
 
-    /// Gives a VM's link a rate in bytes a second, each way.
+    /// Limits a VM's link to a rate in bytes per second in each direction.
     pub fn set_vm_rate(&self, vm: IpAddr, up: u64, down: u64) {
         let link = VmLink::new(Some(up), Some(down));
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.insert(vm, link);
     }
 
-    /// Gives the link towards an address a rate in bytes a second, each way, in place of that of its VM.
-    /// Connections that were made before the first call aren't bound by it, later calls hold for all.
+    /// Limits the link towards an address to a rate in bytes per second in each direction, in place of
+    /// its VM's rate. Connections made before the first call are not limited by it; later calls
+    /// apply to all connections made since.
     pub fn set_rate_towards(&self, addr: SocketAddr, rate: Option<u64>) {
         let mut links = self.towards.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links.entry(addr);
@@ -135,8 +136,8 @@
         link.down.set_rate(rate);
     }
 
-    /// Has the connections that are open towards an address carry nothing more, and stay open; new ones
-    /// carry.
+    /// Stalls the connections that are open towards an address: they stay open and forward nothing.
+    /// New connections are not affected.
     pub fn stall_open_connections(&self, addr: SocketAddr) {
         self.states.send_modify(|states| {
             *states.stalls.entry(addr).or_default() += 1;
@@ -153,20 +154,20 @@
         links.get(&vm).cloned()
     }
 
-    /// Takes a VM off the network for good.
+    /// Disconnects a VM from the network until [`Switchboard::heal`].
     pub fn disconnect_vm(&self, vm: IpAddr) {
         self.states.send_modify(|states| {
             states.disconnected.insert(vm);
         });
     }
 
-    /// Brings all links up.
+    /// Resets the state of all links and VMs; rates stay.
     pub fn heal(&self) {
         self.states
             .send_modify(|states| *states = States::default());
     }
 
-    /// Starts a relay from an address to another.
+    /// Starts a relay that listens on `from` and connects to `to`.
     pub async fn relay(&self, from: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
         let mut listener = TcpListener::bind(from).await?;
         let switchboard = self.clone();
@@ -174,19 +175,19 @@
             loop {
                 tokio::select! {
                     () = switchboard.accept(&listener, from, to) => return,
-                    () = switchboard.refuses(from, true) => drop(listener),
+                    () = switchboard.wait_refused(from, true) => drop(listener),
                 }
-                switchboard.refuses(from, false).await;
+                switchboard.wait_refused(from, false).await;
                 listener = match TcpListener::bind(from).await {
                     Ok(listener) => listener,
-                    Err(e) => panic!("the relay's own address {from} is taken: {e}"),
+                    Err(e) => panic!("failed to rebind the relay's address {from}: {e}"),
                 };
             }
         });
         Ok(())
     }
 
-    /// Takes connections until that fails.
+    /// Accepts connections until accepting fails.
     async fn accept(&self, listener: &TcpListener, from: SocketAddr, to: SocketAddr) {
         while let Ok((near, caller)) = listener.accept().await {
             let states = self.states.subscribe();
@@ -203,22 +204,22 @@
                 far.or_else(|| self.vm_link(from.ip())),
             ];
             if !link.state().closes() {
-                tokio::spawn(carry(near, to, link, ends));
+                tokio::spawn(relay_connection(near, to, link, ends));
             }
         }
     }
 
-    /// Waits until new connections to an address are refused, or are no more.
-    async fn refuses(&self, from: SocketAddr, refused: bool) {
+    /// Waits until refusal of new connections to an address equals `refused`.
+    async fn wait_refused(&self, from: SocketAddr, refused: bool) {
         let mut states = self.states.subscribe();
-        let is = |states: &States| states.towards.get(&from) == Some(&LinkState::Refused);
-        if states.wait_for(|s| is(s) == refused).await.is_err() {
+        let is_refused = |states: &States| states.towards.get(&from) == Some(&LinkState::Refused);
+        if states.wait_for(|s| is_refused(s) == refused).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// The side of an address.
+/// Returns the side of an address.
 pub fn side(ip: IpAddr) -> Side {
     match ip {
         IpAddr::V4(ip) => ip.octets()[2],
@@ -231,7 +232,7 @@
     states: watch::Receiver<States>,
     caller: IpAddr,
     to: SocketAddr,
-    /// How often connections had fallen silent before this one was made.
+    /// Number of stalls towards the address before this connection was accepted.
     stalls: u64,
 }
 
@@ -257,9 +258,9 @@
         state.copied().unwrap_or(LinkState::Up)
     }
 
-    /// Waits until the state is one that `is` says yes to.
-    async fn until(&mut self, is: impl Fn(LinkState) -> bool) {
-        while !is(self.state()) {
+    /// Waits until the state satisfies the predicate.
+    async fn wait_for(&mut self, predicate: impl Fn(LinkState) -> bool) {
+        while !predicate(self.state()) {
             if self.states.changed().await.is_err() {
                 return;
             }
@@ -267,16 +268,16 @@
     }
 }
 
-/// What bytes one way have to pass.
-struct Way {
+/// One direction of a relayed connection.
+struct Direction {
     link: Link,
-    /// The sender's link up and the receiver's link down.
-    over: [Option<Arc<PacedLink>>; 2],
-    /// Whether these are answers.
-    back: bool,
+    /// The uplink of the sender and the downlink of the receiver.
+    rates: [Option<Arc<PacedLink>>; 2],
+    /// Whether the bytes are responses.
+    is_response: bool,
 }
 
-async fn carry(near: TcpStream, to: SocketAddr, link: Link, ends: [Option<VmLink>; 2]) {
+async fn relay_connection(near: TcpStream, to: SocketAddr, link: Link, ends: [Option<VmLink>; 2]) {
     let Ok(far) = TcpStream::connect(to).await else {
         return;
     };
@@ -285,64 +286,70 @@
     let (far_rx, far_tx) = far.into_split();
     let up = |end: usize| ends[end].as_ref().map(|l| l.up.clone());
     let down = |end: usize| ends[end].as_ref().map(|l| l.down.clone());
-    let there = Way {
+    let requests = Direction {
         link: link.clone(),
-        over: [up(0), down(1)],
-        back: false,
+        rates: [up(0), down(1)],
+        is_response: false,
     };
-    let back = Way {
+    let responses = Direction {
         link: link.clone(),
-        over: [up(1), down(0)],
-        back: true,
+        rates: [up(1), down(0)],
+        is_response: true,
     };
     let mut cut = link;
     tokio::select! {
-        _ = cut.until(LinkState::closes) => {}
-        _ = async { tokio::join!(pump(near_rx, far_tx, there), pump(far_rx, near_tx, back)) } => {}
+        _ = cut.wait_for(LinkState::closes) => {}
+        _ = async { tokio::join!(forward(near_rx, far_tx, requests), forward(far_rx, near_tx, responses)) } => {}
     }
 }
 
-/// Carries bytes one way: over the sender's link, then over the receiver's, both at once.
-async fn pump(rx: OwnedReadHalf, tx: OwnedWriteHalf, way: Way) {
-    let [up, down] = way.over.clone();
-    let (near, far) = mpsc::channel(BETWEEN);
-    tokio::join!(send(rx, near, way, up), receive(far, tx, down));
+/// Forwards bytes in one direction over the sender's link and then the receiver's; the two links
+/// run concurrently.
+async fn forward(rx: OwnedReadHalf, tx: OwnedWriteHalf, direction: Direction) {
+    let [up, down] = direction.rates.clone();
+    let (queue_tx, queue_rx) = mpsc::channel(MAX_IN_FLIGHT_READS);
+    tokio::join!(
+        send(rx, queue_tx, direction, up),
+        receive(queue_rx, tx, down)
+    );
 }
 
 async fn send(
     mut rx: OwnedReadHalf,
-    near: mpsc::Sender<Vec<u8>>,
-    mut way: Way,
+    queue_tx: mpsc::Sender<Vec<u8>>,
+    mut direction: Direction,
     up: Option<Arc<PacedLink>>,
 ) {
-    let mut buf = vec![0; BUF];
+    let mut buf = vec![0; READ_BYTES];
     while let Ok(n) = rx.read(&mut buf).await {
         if n == 0 {
             break;
         }
-        match way.link.state() {
+        match direction.link.state() {
             LinkState::Slow(pause) => tokio::time::sleep(pause).await,
-            LinkState::Corrupt if way.back && n > SMALL => buf[n - 1] ^= 1,
+            LinkState::Corrupt if direction.is_response && n > MAX_SMALL_READ_BYTES => {
+                buf[n - 1] ^= 1
+            }
             _ => {}
         }
-        let back = way.back;
-        let carries = |s| s != LinkState::Stalled && !(back && s == LinkState::Deaf);
-        way.link.until(carries).await;
+        let is_response = direction.is_response;
+        let forwards = |s| s != LinkState::Stalled && !(is_response && s == LinkState::Deaf);
+        direction.link.wait_for(forwards).await;
         if let Some(up) = &up {
             up.transmit(n).await;
         }
-        if near.send(buf[..n].to_vec()).await.is_err() {
+        if queue_tx.send(buf[..n].to_vec()).await.is_err() {
             break;
         }
     }
 }
 
 async fn receive(
-    mut far: mpsc::Receiver<Vec<u8>>,
+    mut queue_rx: mpsc::Receiver<Vec<u8>>,
     mut tx: OwnedWriteHalf,
     down: Option<Arc<PacedLink>>,
 ) {
-    while let Some(buf) = far.recv().await {
+    while let Some(buf) = queue_rx.recv().await {
         if let Some(down) = &down {
             down.transmit(buf.len()).await;
         }
--- a/crates/lab/src/standin/service.rs
+++ b/crates/lab/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: keeps a ledger of its calls and answers each with what it was sent.
+//! A plain service: records its calls in a ledger and echoes each in the response.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -30,11 +30,11 @@
 }
 
 impl PlainService {
-    /// Starts a service.
+    /// Starts a service on an address.
     pub async fn start(addr: SocketAddr, stop: StopSignal) -> std::io::Result<PlainService> {
         let service = PlainService::default();
-        let serving = service.clone();
-        super::serve(addr, stop, move |req| handle(serving.clone(), req)).await?;
+        let handler_service = service.clone();
+        super::serve(addr, stop, move |req| handle(handler_service.clone(), req)).await?;
         Ok(service)
     }
 
@@ -42,20 +42,20 @@
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What it was called with.
+    /// Returns the recorded calls.
     pub fn ledger(&self) -> Vec<CallRecord> {
         self.lock().clone()
     }
 }
 
 async fn handle(service: PlainService, req: Request) -> Response {
-    if let Some(set) = fault_request(&service.faults, &req) {
-        return set.apply(&service.faults, req).await;
+    if let Some(set_faults) = fault_request(&service.faults, &req) {
+        return set_faults.apply(&service.faults, req).await;
     }
     if req.uri().path() == "/ledger" {
         return web::json(
             200,
-            serde_json::to_string(&service.ledger()).expect("plain data"),
+            serde_json::to_string(&service.ledger()).expect("the ledger serializes"),
         );
     }
     let method = req.method().to_string();
@@ -69,9 +69,12 @@
         body: String::from_utf8_lossy(&buf).into_owned(),
     };
     service.lock().push(record.clone());
-    // The call has run; a fault from here on loses its answer.
+    // The call has run; a fault from here on loses only its response.
     if let Some(res) = service.faults.apply_to_request().await {
         return res;
     }
-    web::json(200, serde_json::to_string(&record).expect("plain data"))
+    web::json(
+        200,
+        serde_json::to_string(&record).expect("a call serializes"),
+    )
 }
