--- a/crates/lab/src/standin/relay.rs
+++ b/crates/lab/src/standin/relay.rs
@@ -299,7 +299,12 @@
     let mut cut = link;
     tokio::select! {
         _ = cut.wait_for(LinkState::closes) => {}
-        _ = async { tokio::join!(forward(near_rx, far_tx, requests), forward(far_rx, near_tx, responses)) } => {}
+        _ = async {
+            tokio::join!(
+                forward(near_rx, far_tx, requests),
+                forward(far_rx, near_tx, responses)
+            )
+        } => {}
     }
 }
 
