--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -14,7 +14,7 @@
 use base::{Digest, Outcome};
 use bytes::Bytes;
 use entry::admin::Status;
-use lab::caller::{Ask, Reply, send};
+use lab::caller::{Reply, RequestSpec, send};
 use lab::layout::{EntryVm, Layout, UpstreamVm};
 use lab::standin::engine::{Behaviour, Engine};
 use lab::standin::platform::Platform;
@@ -106,7 +106,7 @@
 /// A request with its response.
 #[derive(Debug, Clone)]
 pub struct Sent {
-    pub ask: Ask,
+    pub ask: RequestSpec,
     pub reply: Reply,
 }
 
@@ -158,7 +158,7 @@
         layout.domains.truncate(spec.domains);
         layout.relayed = true;
         let (stop_tx, stop) = watch::channel(false);
-        let platform = Platform::start(layout.platform_bound(), None, stop.clone())
+        let platform = Platform::start(layout.platform_listen_addrs(), None, stop.clone())
             .await
             .expect("the platform starts");
         platform.set_members(&layout.members());
@@ -174,7 +174,7 @@
         );
         for addr in relayed {
             board
-                .relay(addr, layout.bound(addr))
+                .relay(addr, layout.listen_addr(addr))
                 .await
                 .expect("a relay starts");
         }
@@ -372,7 +372,7 @@
     /// Returns a client for the platform's table.
     pub fn tables(&self) -> Tables {
         // Bypasses the relays: the operator's link stays up while others are cut.
-        let addr = self.layout.platform_bound().table;
+        let addr = self.layout.platform_listen_addrs().table;
         Tables::new(Kv::new(
             addr,
             DialOptions::with_timeout(Duration::from_secs(2)),
@@ -463,11 +463,11 @@
 
     /// Returns the status that an entry reports; `None` where it doesn't respond.
     pub async fn status(&self, e: &EntryVm) -> Option<Status> {
-        lab::caller::get(&self.client, e.admin, "/status").await
+        lab::caller::get_json(&self.client, e.admin, "/status").await
     }
 
     /// Sends a request to an entry.
-    pub async fn send(&self, entry: usize, ask: &Ask) -> Sent {
+    pub async fn send(&self, entry: usize, ask: &RequestSpec) -> Sent {
         let reply = send(&self.client, self.entry(entry).listen, ask).await;
         let ask = ask.clone();
         Sent { ask, reply }
@@ -487,7 +487,7 @@
             let marker = &s.ask.marker;
             let runs = self.run_count(marker);
             assert_eq!(
-                s.reply.fault(&s.ask),
+                s.reply.mismatch(&s.ask),
                 None,
                 "a complete response to this request"
             );
--- a/crates/cli/tests/edits.rs
+++ b/crates/cli/tests/edits.rs
@@ -7,8 +7,12 @@
 use std::time::{Duration, Instant};
 
 use base::Outcome;
-use common::{Cluster, ClusterSpec, csv, row, wait_for};
-use lab::caller::Ask;
+use common::Cluster;
+use common::ClusterSpec;
+use common::csv;
+use common::row;
+use common::wait_for;
+use lab::caller::RequestSpec;
 use lab::standin::fault::Faults;
 use store::PlatformError;
 
@@ -163,7 +167,8 @@
     ];
     cluster.apply(&rows).await;
     cluster.wait_ready("brief", &version.to_string(), 2).await;
-    let ask = |model: &str| Ask::completion(model, &format!("cut{:x}", rand::random::<u32>()));
+    let ask =
+        |model: &str| RequestSpec::completion(model, &format!("cut{:x}", rand::random::<u32>()));
     assert_eq!(
         cluster.send(0, &ask("brief")).await.reply.outcome,
         Some(Outcome::Done)
--- a/crates/cli/tests/fuzz.rs
+++ b/crates/cli/tests/fuzz.rs
@@ -8,8 +8,12 @@
 use std::time::Duration;
 
 use base::{Digest, Outcome};
-use common::{Cluster, ClusterSpec, Sent, row, wait_for};
-use lab::caller::Ask;
+use common::Cluster;
+use common::ClusterSpec;
+use common::Sent;
+use common::row;
+use common::wait_for;
+use lab::caller::RequestSpec;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
 use proptest::prelude::*;
@@ -112,7 +116,7 @@
     runtime: Runtime,
     cluster: Cluster,
     versions: [Digest; 2],
-    requests: Vec<Ask>,
+    requests: Vec<RequestSpec>,
     pending: Vec<JoinHandle<Sent>>,
     sent: Vec<Sent>,
     dead: Vec<String>,
@@ -121,7 +125,7 @@
 }
 
 impl Sut {
-    fn send(&mut self, entry: usize, ask: Ask) {
+    fn send(&mut self, entry: usize, ask: RequestSpec) {
         let (client, to) = (
             self.cluster.client.clone(),
             self.cluster.entry(entry).listen,
@@ -136,22 +140,22 @@
     fn send_batch(&mut self, entry: usize) {
         for _ in 0..REQUESTS_PER_STEP {
             let n = self.requests.len();
-            let plain = Ask {
+            let plain = RequestSpec {
                 tokens: 3 + (n % 5) as u32 * 10,
                 deadline: Duration::from_secs(3),
-                ..Ask::completion(MODEL, &format!("fuzz{n}"))
+                ..RequestSpec::completion(MODEL, &format!("fuzz{n}"))
             };
             let ask = match n % 4 {
                 0 => plain,
-                1 => Ask {
+                1 => RequestSpec {
                     stream: true,
                     ..plain
                 },
-                2 => Ask {
+                2 => RequestSpec {
                     mark_unsafe: true,
                     ..plain
                 },
-                _ => Ask {
+                _ => RequestSpec {
                     key: Some(format!("key{n}")),
                     mark_unsafe: true,
                     ..plain
@@ -164,7 +168,7 @@
 
     /// Resends a request that has a key, as a caller does after a lost response.
     fn resend(&mut self, entry: usize, n: usize) {
-        let with_key: Vec<Ask> = self
+        let with_key: Vec<RequestSpec> = self
             .requests
             .iter()
             .filter(|a| a.key.is_some())
@@ -324,7 +328,8 @@
         let cluster = &sut.cluster;
         sut.runtime
             .block_on(wait_for("the healed cluster to serve", async || {
-                let ask = Ask::completion(MODEL, &format!("healed{:x}", rand::random::<u64>()));
+                let ask =
+                    RequestSpec::completion(MODEL, &format!("healed{:x}", rand::random::<u64>()));
                 cluster.send(0, &ask).await.reply.outcome == Some(Outcome::Done)
             }));
     }
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -6,8 +6,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use base::Outcome;
-use common::{Cluster, ClusterSpec, Sent, row, wait_for};
-use lab::caller::Ask;
+use common::Cluster;
+use common::ClusterSpec;
+use common::Sent;
+use common::row;
+use common::wait_for;
+use lab::caller::RequestSpec;
 use lab::layout::Layout;
 use lab::standin::relay::LinkState;
 use store::MemberState;
@@ -38,7 +42,7 @@
     for i in 0..30 {
         sent.push(
             cluster
-                .send(i % 2, &Ask::completion(MODEL, &format!("new{i}")))
+                .send(i % 2, &RequestSpec::completion(MODEL, &format!("new{i}")))
                 .await,
         );
     }
@@ -153,19 +157,19 @@
                 let mut i = n;
                 while !stop.load(Ordering::Relaxed) {
                     i += 1;
-                    let plain = Ask::completion(MODEL, &format!("rolling-{n}-{i}"));
+                    let plain = RequestSpec::completion(MODEL, &format!("rolling-{n}-{i}"));
                     let ask = match i % 3 {
-                        0 => Ask {
+                        0 => RequestSpec {
                             stream: true,
                             tokens: 400,
                             ..plain
                         },
-                        1 => Ask {
+                        1 => RequestSpec {
                             mark_unsafe: true,
                             tokens: 300,
                             ..plain
                         },
-                        _ => Ask {
+                        _ => RequestSpec {
                             key: Some(plain.marker.clone()),
                             tokens: 20,
                             ..plain
--- a/crates/cli/tests/malformed.rs
+++ b/crates/cli/tests/malformed.rs
@@ -7,8 +7,10 @@
 use std::time::Duration;
 
 use base::Outcome;
-use common::{Cluster, ClusterSpec, row};
-use lab::caller::Ask;
+use common::Cluster;
+use common::ClusterSpec;
+use common::row;
+use lab::caller::RequestSpec;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::TestRunner;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -98,9 +100,9 @@
     let (entry, agent) = (cluster.entry(0), cluster.upstream(0));
     let ports = [
         entry.listen,
-        cluster.layout.bound(entry.control),
-        cluster.layout.bound(agent.listen),
-        cluster.layout.bound(agent.peer),
+        cluster.layout.listen_addr(entry.control),
+        cluster.layout.listen_addr(agent.listen),
+        cluster.layout.listen_addr(agent.peer),
     ];
     let mut all = generate_inputs(INPUTS_PER_PORT * ports.len());
     for (i, port) in ports.into_iter().enumerate() {
@@ -109,7 +111,7 @@
             "{port}: {answered} of {INPUTS_PER_PORT} got a response, the others a closed connection"
         );
         let s = cluster
-            .send(0, &Ask::completion(MODEL, &format!("after{i}")))
+            .send(0, &RequestSpec::completion(MODEL, &format!("after{i}")))
             .await;
         assert_eq!(s.reply.outcome, Some(Outcome::Done), "{s:?}");
     }
@@ -145,7 +147,9 @@
     let mut slow_body = TcpStream::connect(to).await.expect("open");
     let head = b"POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{";
     slow_body.write_all(head).await.expect("sent");
-    let others = cluster.send(0, &Ask::completion(MODEL, "others")).await;
+    let others = cluster
+        .send(0, &RequestSpec::completion(MODEL, "others"))
+        .await;
     assert_eq!(others.reply.outcome, Some(Outcome::Done), "{others:?}");
     let read = async |mut stream: TcpStream| {
         let mut answer = vec![0; 4096];
@@ -163,7 +167,7 @@
         closed.is_empty() || closed.starts_with("HTTP/1.1 4"),
         "{closed}"
     );
-    let large = Ask::completion(MODEL, &"x".repeat(8000));
+    let large = RequestSpec::completion(MODEL, &"x".repeat(8000));
     let s = cluster.send(0, &large).await;
     assert_eq!(
         (s.reply.status, s.reply.code.as_str()),
--- a/crates/cli/tests/outcomes.rs
+++ b/crates/cli/tests/outcomes.rs
@@ -5,7 +5,7 @@
 use base::Outcome;
 use common::{Cluster, ClusterSpec, Sent, row, wait_for};
 use http_body_util::BodyExt;
-use lab::caller::Ask;
+use lab::caller::RequestSpec;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
 
@@ -23,16 +23,16 @@
     cluster
 }
 
-fn keyed(marker: &str) -> Ask {
-    Ask {
+fn keyed(marker: &str) -> RequestSpec {
+    RequestSpec {
         key: Some(format!("key-{marker}")),
         mark_unsafe: true,
-        ..Ask::completion(MODEL, marker)
+        ..RequestSpec::completion(MODEL, marker)
     }
 }
 
-fn slow(ask: Ask) -> Ask {
-    Ask { tokens: 400, ..ask }
+fn slow(ask: RequestSpec) -> RequestSpec {
+    RequestSpec { tokens: 400, ..ask }
 }
 
 /// Waits until a request runs at an engine; returns the engine's VM.
@@ -51,14 +51,14 @@
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let mut sent = Vec::new();
     for i in 0..40 {
-        let plain = Ask::completion(MODEL, &format!("whole{i}"));
+        let plain = RequestSpec::completion(MODEL, &format!("whole{i}"));
         let ask = match i % 4 {
             0 => plain,
-            1 => Ask {
+            1 => RequestSpec {
                 stream: true,
                 ..plain
             },
-            2 => Ask {
+            2 => RequestSpec {
                 mark_unsafe: true,
                 ..plain
             },
@@ -96,7 +96,7 @@
 async fn refuses_a_key_with_a_different_body() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
     let first = cluster.send(0, &keyed("one")).await;
-    let other = Ask {
+    let other = RequestSpec {
         key: Some("key-one".into()),
         ..keyed("two")
     };
@@ -131,7 +131,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_killed_during_requests_leaves_the_unsafe_one_unknown_and_the_safe_one_done() {
     let mut cluster = ready_cluster(ClusterSpec::default()).await;
-    let (unsafe_ask, safe_ask) = (slow(keyed("killed")), slow(Ask::completion(MODEL, "saved")));
+    let (unsafe_ask, safe_ask) = (
+        slow(keyed("killed")),
+        slow(RequestSpec::completion(MODEL, "saved")),
+    );
     let entry = cluster.entry(0).listen;
     let client = cluster.client.clone();
     let (u, s) = (unsafe_ask.clone(), safe_ask.clone());
@@ -219,10 +222,12 @@
         down: true,
         ..Faults::default()
     });
-    let safe = cluster.send(0, &Ask::completion(MODEL, "safe")).await;
-    let once = Ask {
+    let safe = cluster
+        .send(0, &RequestSpec::completion(MODEL, "safe"))
+        .await;
+    let once = RequestSpec {
         mark_unsafe: true,
-        ..Ask::completion(MODEL, "once")
+        ..RequestSpec::completion(MODEL, "once")
     };
     let once = cluster.send(1, &once).await;
     let keyed = cluster.send(0, &keyed("refused")).await;
@@ -254,7 +259,7 @@
     cluster.signal(&vm, "CONT");
     wait_for("the agent to serve again", async || {
         cluster
-            .send(0, &Ask::completion(MODEL, "thawed"))
+            .send(0, &RequestSpec::completion(MODEL, "thawed"))
             .await
             .reply
             .outcome
@@ -342,7 +347,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_disconnect_cancels_safe_requests_only() {
     let cluster = ready_cluster(ClusterSpec::default()).await;
-    let disconnect = async |ask: Ask| {
+    let disconnect = async |ask: RequestSpec| {
         let (client, entry, marker) =
             (cluster.client.clone(), cluster.entry(0), ask.marker.clone());
         let task =
@@ -350,7 +355,7 @@
         wait_running(&cluster, &marker).await;
         task.abort();
     };
-    disconnect(slow(Ask::completion(MODEL, "hungsafe"))).await;
+    disconnect(slow(RequestSpec::completion(MODEL, "hungsafe"))).await;
     disconnect(slow(keyed("hungkeyed"))).await;
     let running = || {
         cluster
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -3,8 +3,11 @@
 mod common;
 
 use base::Outcome;
-use common::{Cluster, ClusterSpec, row, wait_for};
-use lab::caller::Ask;
+use common::Cluster;
+use common::ClusterSpec;
+use common::row;
+use common::wait_for;
+use lab::caller::RequestSpec;
 
 const MODEL: &str = "changelog";
 
@@ -42,7 +45,9 @@
     cluster.signal(&vm, "HUP");
     let rejected = async || cluster.log(&vm).contains("logs stay as they are");
     wait_for("the invalid settings to be rejected", rejected).await;
-    let s = cluster.send(0, &Ask::completion(MODEL, "still")).await;
+    let s = cluster
+        .send(0, &RequestSpec::completion(MODEL, "still"))
+        .await;
     assert_eq!(s.reply.outcome, Some(Outcome::Done), "{s:?}");
 }
 
--- a/crates/cli/tests/weights.rs
+++ b/crates/cli/tests/weights.rs
@@ -8,8 +8,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use base::Outcome;
-use common::{Cluster, ClusterSpec, Sent, row, wait_for};
-use lab::caller::Ask;
+use common::Cluster;
+use common::ClusterSpec;
+use common::Sent;
+use common::row;
+use common::wait_for;
+use lab::caller::RequestSpec;
 use lab::standin::fault::Faults;
 use lab::standin::relay::LinkState;
 
@@ -41,8 +45,8 @@
                     let mut sent = Vec::new();
                     while !stop.load(Ordering::Relaxed) {
                         let i = sent.len();
-                        let plain = Ask::completion(MODEL, &format!("{name}-{i}"));
-                        let ask = Ask {
+                        let plain = RequestSpec::completion(MODEL, &format!("{name}-{i}"));
+                        let ask = RequestSpec {
                             stream: i % 2 == 0,
                             ..plain
                         };
@@ -91,7 +95,9 @@
         (0, 0),
         "all faults occurred"
     );
-    let s = cluster.send(0, &Ask::completion(MODEL, "clean")).await;
+    let s = cluster
+        .send(0, &RequestSpec::completion(MODEL, "clean"))
+        .await;
     assert_eq!(s.reply.version, version.to_string());
     cluster.check_outcomes(&[s]);
 }
@@ -271,10 +277,10 @@
     let before = runs_in(&cluster, "fortaleza");
     for i in 0..10 {
         let here = cluster
-            .send(0, &Ask::completion(MODEL, &format!("here{i}")))
+            .send(0, &RequestSpec::completion(MODEL, &format!("here{i}")))
             .await;
         let there = cluster
-            .send(2, &Ask::completion(MODEL, &format!("there{i}")))
+            .send(2, &RequestSpec::completion(MODEL, &format!("there{i}")))
             .await;
         assert_eq!(here.reply.ran_in, "recife");
         assert_eq!(
@@ -321,7 +327,7 @@
     cluster.apply(&[row(MODEL, version, "recife")]).await;
     let ready = async || {
         cluster
-            .send(0, &Ask::completion(MODEL, "probe"))
+            .send(0, &RequestSpec::completion(MODEL, "probe"))
             .await
             .reply
             .outcome
@@ -338,7 +344,7 @@
     wait_for("the other place to learn of the replicas", known).await;
     for i in 0..10 {
         let s = cluster
-            .send(2, &Ask::completion(MODEL, &format!("outside{i}")))
+            .send(2, &RequestSpec::completion(MODEL, &format!("outside{i}")))
             .await;
         assert_eq!(s.reply.outcome, Some(Outcome::NotRun), "{s:?}");
         assert_eq!(s.reply.code, code, "{s:?}");
@@ -376,7 +382,7 @@
             .all(|(_, e)| e.state().loaded.contains(&version))
     };
     wait_for("the permitted place to load the weights", async || live()).await;
-    let peer = cluster.layout.bound(cluster.upstream(0).peer);
+    let peer = cluster.layout.listen_addr(cluster.upstream(0).peer);
     for (domain, status) in [("recife", 200), ("fortaleza", 403), ("", 403)] {
         let req = hyper::Request::builder()
             .uri(format!("/chunk/{version}/0"))
@@ -438,12 +444,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn agent_fenced_out_by_a_later_one_sends_no_more_orders() {
-    for honours_fences in [true, false] {
+    for enforces_fencing in [true, false] {
         let spec = ClusterSpec {
             engines: 1,
-            agent_lines: vec![format!("fencing: {honours_fences}")],
+            agent_lines: vec![format!("fencing: {enforces_fencing}")],
             behaviour: lab::standin::engine::Behaviour {
-                honours_fences,
+                enforces_fencing,
                 ..Default::default()
             },
             ..ClusterSpec::default()
@@ -474,7 +480,9 @@
             async || engine.state().loaded == vec![a],
         )
         .await;
-        let s = cluster.send(0, &Ask::completion(MODEL, "after")).await;
+        let s = cluster
+            .send(0, &RequestSpec::completion(MODEL, "after"))
+            .await;
         cluster.check_outcomes(&[s]);
     }
 }
